--- a/cardamombarrow/decisions/choice.py
+++ b/cardamombarrow/decisions/choice.py
@@ -1,20 +1,20 @@
-"""Where a job is sent: by expected finish and prefix.
-
-Load pattern answered: endpoints of unequal speed, an endpoint that turns slow
-while its load report still shows the past, a prompt prefix that many requests
-share. Without this module the requests go round in turn: a slow endpoint gets
-as many as a fast one, and a shared prefix is read anew by every endpoint. Of
-endpoints that fail `failures` takes care.
-
-How the expected finish is worked out: the time to the first token, which
-grows with the prompt, plus the expected answer at the endpoint's present time
-per token, both raised by how full the endpoint is. What the requests that run
-there now have shown counts at once, so a straggler is seen before any of its
-requests has ended; what was seen long ago fades, so it is tried again.
-
-The two plug-ins differ in whom they weigh: ``two-candidates`` takes two at
-random, ``least-finish`` looks at all. Their figures side by side, and the
-grounds of the constants, stand in docs/decisions/endpoints.md.
+"""Chooses the endpoint with the lowest expected finish time.
+
+Load pattern: endpoints of unequal speed, an endpoint that turns slow while its
+load report is still out of date, a prompt prefix that many requests share.
+Without this module the requests are sent round robin: a slow endpoint gets as
+many as a fast one, and every endpoint prefills a shared prefix again. Failing
+endpoints are handled by `failures`.
+
+The expected finish is the time to the first token, which grows with the prompt,
+plus the expected answer at the endpoint's current time per token, both scaled
+by its utilization. Running requests count at once, so a straggler is detected
+before any of its requests has ended; old observations decay, so that it is
+tried again.
+
+The two plug-ins differ in the candidates that they compare: ``two-candidates``
+draws two at random, ``least-finish`` compares all. Their results and the
+reasons for the constants are in docs/decisions/endpoints.md.
 """
 
 import dataclasses
@@ -30,50 +30,52 @@
 
 __all__ = ["FinishChoice", "LeastFinishChoice", "TwoCandidatesChoice"]
 
-FIRST_TOKEN_S = 0.02
-"""Time per token of an endpoint of which nothing is known yet."""
+INITIAL_TOKEN_S = 0.02
+"""Initial time per token of an endpoint."""
 
-FIRST_PROMPT_TOKEN_S = 0.0002
-"""Time per prompt token of an endpoint of which nothing is known yet."""
+INITIAL_PROMPT_TOKEN_S = 0.0002
+"""Initial time per prompt token of an endpoint."""
 
 FIXED_PROMPT_TOKENS = 100
-"""Prompt tokens that the fixed part of a first token's time is worth."""
+"""Fixed part of the time to first token, as a number of prompt tokens."""
 
 OBSERVATION_WEIGHT = 0.2
-"""Weight of one request; five of them make two thirds of the estimate."""
+"""Weight of one request; five requests make two thirds of the estimate."""
 
 MEAN_WEIGHT = 0.05
-"""Weight of one request in the mean of its service's endpoints."""
+"""Weight of one request in the mean over its service's endpoints."""
 
 HISTORY_TOKENS = 50
-"""Tokens that the history of an endpoint weighs beside what runs now."""
+"""Weight of an endpoint's history against running requests, in tokens."""
 
 HALF_LIFE_S = 10.0
-"""Time after which half of an endpoint's distance to the mean is forgotten."""
+"""Half-life of the difference between an endpoint and its service's mean."""
 
 PREFIX_SAVING_SHARE = 0.7
-"""Part of a prompt's reading that a cached prefix is expected to save."""
+"""Share of a prompt's prefill that a cached prefix is expected to save."""
 
-_UNTIMED = failures.FAILURES | {messages.Outcome.FAILURE_ANSWERED}
-"""Outcomes that tell nothing of the pace."""
+_OUTCOMES_WITHOUT_TIMING = failures.FAILURES | {
+    messages.Outcome.FAILURE_ANSWERED
+}
+"""Outcomes whose duration says nothing about the endpoint's speed."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Observed:
-    """What an endpoint's answers have shown."""
+class _Speed:
+    """Speed estimated from an endpoint's answers."""
 
     token_s: float
     prompt_token_s: float
-    seen_at_s: float
+    updated_at_s: float
 
 
 class FinishChoice(weighed.WeighedChoice):
-    """Least expected finish among the candidates that are weighed."""
+    """Lowest expected finish among the candidates that a subclass compares."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
-        self._observed: dict[ids.EndpointId, _Observed] = {}
-        self._means: dict[ids.ServiceId, _Observed] = {}
+        self._speeds: dict[ids.EndpointId, _Speed] = {}
+        self._means: dict[ids.ServiceId, _Speed] = {}
         self._prefixes = prefixes.SharedPrefixes()
 
     def _chosen(
@@ -83,7 +85,7 @@
         is_home: bool,
         now_s: float,
     ) -> None:
-        """Notes that a prefix was seen."""
+        """Records that a prefix was seen."""
         self._prefixes.remember(job.prefix_key, now_s)
 
     # -- cost ----------------------------------------------------------------
@@ -97,15 +99,15 @@
     ) -> float:
         """Returns the expected time from now to the job's last token.
 
-        An endpoint that fails counts as slower.
+        Failures of the endpoint multiply the cost.
         """
-        seen = self._faded(state, now_s)
+        speed = self._decayed(state, now_s)
         saved_s = 0.0
         if prefix_there:
             saved_tokens = PREFIX_SAVING_SHARE * job.prompt_tokens
-            saved_s = seen.prompt_token_s * saved_tokens
-        work = job.prompt_tokens + FIXED_PROMPT_TOKENS
-        first_s = seen.prompt_token_s * work
+            saved_s = speed.prompt_token_s * saved_tokens
+        work_tokens = job.prompt_tokens + FIXED_PROMPT_TOKENS
+        first_s = speed.prompt_token_s * work_tokens
         busy_s = 0.0
         tokens = 0
         for running in state.running.values():
@@ -114,30 +116,32 @@
             else:
                 busy_s += now_s - running.first_token_s
                 tokens += running.tokens
-        token_s = (seen.token_s * HISTORY_TOKENS + busy_s) / (
+        token_s = (speed.token_s * HISTORY_TOKENS + busy_s) / (
             HISTORY_TOKENS + tokens
         )
         in_flight = state.in_flight
-        fullness = in_flight / max(state.configured_slots, 1)
-        failing = self._failures.slowdown(state.endpoint, now_s)
-        finish_s = (first_s + job.expected_tokens * token_s) * (1.0 + fullness)
-        # Reading a prompt holds up the whole batch, not just its own request.
-        return (finish_s - saved_s * (1 + in_flight)) * failing
+        utilization = in_flight / max(state.configured_slots, 1)
+        slowdown = self._failures.slowdown(state.endpoint, now_s)
+        finish_s = (first_s + job.expected_tokens * token_s) * (
+            1.0 + utilization
+        )
+        # The prefill of a prompt delays the whole batch, not only its request.
+        return (finish_s - saved_s * (1 + in_flight)) * slowdown
 
-    def _faded(
+    def _decayed(
         self, state: endpoint_module.EndpointState, now_s: float
-    ) -> _Observed:
-        mean = self._means.get(state.service) or _Observed(
-            FIRST_TOKEN_S, FIRST_PROMPT_TOKEN_S, now_s
+    ) -> _Speed:
+        mean = self._means.get(state.service) or _Speed(
+            INITIAL_TOKEN_S, INITIAL_PROMPT_TOKEN_S, now_s
         )
-        seen = self._observed.get(state.endpoint)
-        if seen is None:
+        speed = self._speeds.get(state.endpoint)
+        if speed is None:
             return mean
-        left = 0.5 ** ((now_s - seen.seen_at_s) / HALF_LIFE_S)
-        return _Observed(
-            mean.token_s + (seen.token_s - mean.token_s) * left,
+        remaining_share = 0.5 ** ((now_s - speed.updated_at_s) / HALF_LIFE_S)
+        return _Speed(
+            mean.token_s + (speed.token_s - mean.token_s) * remaining_share,
             mean.prompt_token_s
-            + (seen.prompt_token_s - mean.prompt_token_s) * left,
+            + (speed.prompt_token_s - mean.prompt_token_s) * remaining_share,
             now_s,
         )
 
@@ -149,14 +153,16 @@
         running: messages.Running,
         now_s: float,
     ) -> None:
-        """Learns the time per prompt token, and that the endpoint works."""
+        """Updates the time per prompt token and records a success."""
         super().on_first_token(state, running, now_s)
         if not running.job.streams:
-            # The first byte comes with the last: it tells the whole time.
+            # The first byte comes with the last one, after the whole run.
             return
-        work = running.job.prompt_tokens + FIXED_PROMPT_TOKENS
+        work_tokens = running.job.prompt_tokens + FIXED_PROMPT_TOKENS
         self._learn(
-            state, now_s, prompt_token_s=(now_s - running.placed_s) / work
+            state,
+            now_s,
+            prompt_token_s=(now_s - running.placed_s) / work_tokens,
         )
 
     def on_finish(
@@ -166,9 +172,9 @@
         outcome: messages.Outcome,
         now_s: float,
     ) -> None:
-        """Learns the time per token, or that the endpoint failed."""
+        """Updates the time per token, or records a failure."""
         super().on_finish(state, running, outcome, now_s)
-        if outcome in _UNTIMED:
+        if outcome in _OUTCOMES_WITHOUT_TIMING:
             return
         if running.first_token_s is not None and running.tokens > 1:
             begin_s = running.first_token_s
@@ -183,28 +189,28 @@
         now_s: float,
         **values: float,
     ) -> None:
-        seen = self._of(state, now_s)
+        speed = self._update_decayed(state, now_s)
         mean = self._means.setdefault(
             state.service,
-            _Observed(seen.token_s, seen.prompt_token_s, now_s),
+            _Speed(speed.token_s, speed.prompt_token_s, now_s),
         )
         for name, value in values.items():
-            _move(seen, name, value, OBSERVATION_WEIGHT)
-            _move(mean, name, value, MEAN_WEIGHT)
+            _move_towards(speed, name, value, OBSERVATION_WEIGHT)
+            _move_towards(mean, name, value, MEAN_WEIGHT)
 
-    def _of(
+    def _update_decayed(
         self, state: endpoint_module.EndpointState, now_s: float
-    ) -> _Observed:
-        seen = self._faded(state, now_s)
-        old = self._observed.get(state.endpoint)
-        if old is None:
-            old = _Observed(seen.token_s, seen.prompt_token_s, now_s)
-            self._observed[state.endpoint] = old
-            return old
-        old.token_s = seen.token_s
-        old.prompt_token_s = seen.prompt_token_s
-        old.seen_at_s = now_s
-        return old
+    ) -> _Speed:
+        speed = self._decayed(state, now_s)
+        stored = self._speeds.get(state.endpoint)
+        if stored is None:
+            stored = _Speed(speed.token_s, speed.prompt_token_s, now_s)
+            self._speeds[state.endpoint] = stored
+            return stored
+        stored.token_s = speed.token_s
+        stored.prompt_token_s = speed.prompt_token_s
+        stored.updated_at_s = now_s
+        return stored
 
     # -- prefixes ------------------------------------------------------------
 
@@ -216,21 +222,23 @@
     ) -> endpoint_module.EndpointState | None:
         """Returns the candidate whose cache should hold the job's prefix.
 
-        A prefix that was seen once is not held to be shared.
+        A prefix seen only once does not count as shared.
         """
         if not self._prefixes.shared(job.prefix_key, now_s):
             return None
         return weighed.home_among(job.prefix_key, candidates)
 
 
-def _move(seen: _Observed, name: str, value: float, weight: float) -> None:
-    old = getattr(seen, name)
-    setattr(seen, name, old + weight * (value - old))
+def _move_towards(
+    speed: _Speed, name: str, value: float, weight: float
+) -> None:
+    stored = getattr(speed, name)
+    setattr(speed, name, stored + weight * (value - stored))
 
 
 @registry.plugin("choice", "two-candidates")
 class TwoCandidatesChoice(FinishChoice):
-    """The better of two candidates drawn at random."""
+    """Lowest expected finish among two candidates drawn at random."""
 
     def _weighed(
         self, candidates: list[endpoint_module.EndpointState]
@@ -242,7 +250,7 @@
 
 @registry.plugin("choice", "least-finish")
 class LeastFinishChoice(FinishChoice):
-    """The best of all candidates."""
+    """Lowest expected finish among all candidates."""
 
     def _weighed(
         self, candidates: list[endpoint_module.EndpointState]
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -1,36 +1,37 @@
-"""Where a job is sent: by the expected time to its first event.
-
-Load pattern answered: prompts of very different length, many of which share
-their beginning, on engines of several failure domains that read one prompt at
-a time. What a short request waits for is the reading of the long prompts
-before it, not the number of requests; an engine that looks free by its slots
-may be seconds behind. Without this module each domain keeps to its own
-engines, and a domain with one engine misses every target while its
-neighbours' engines are idle.
-
-The expected time adds up
-
-- the fixed part: what an answer takes when nothing is before it, learnt for
-  each endpoint, with a guess by distance until then;
-- the reading of prompts that this instance sent there and that has not ended,
-  and of those that others told of;
-- the congestion: by how much the latest first events there came later than
-  expected. That is other instances' work, or an endpoint slower than the
-  others. It fades fast, so that an endpoint is tried again;
-- the reading of the job's own prompt, less the parts that its cache holds;
-- what it costs to leave its lane (see `lanes`): a long prompt makes the short
-  answers on a quiet engine stutter, a short request stutters among long ones.
-
-A call that does not stream has no prompt to be read: what counts is the
-median time of such answers, and one that is overdue tells nothing of the next.
-
-An engine's cache is known by what this instance sent there and what others
-tell (see `kept`); what it lacks it may fetch (see `fetching`). Besides, each
-shared beginning has a home among the engines, named by rendezvous hashing, so
-that all instances agree on it without a message; while nobody has told of a
-beginning it is reckoned to be there in part, because others send it there too.
-
-All times are of the order of the targets that they serve.
+"""Chooses the endpoint with the lowest expected time to first token.
+
+Load pattern: prompts of very different length, many with a shared prefix, on
+engines of several failure domains that prefill one prompt at a time. A short
+request waits for the prefill of the long prompts ahead of it, so the number of
+requests says little: an engine with free slots may be seconds behind. Without
+this module each domain uses its own engines only, and a domain with one engine
+misses every target while engines of other domains are idle.
+
+The expected time is the sum of
+
+- the base latency: the time to first token on an idle endpoint, learned per
+  endpoint; a guess by distance until then;
+- the remaining prefill of the prompts that this instance sent there, and of
+  those that other instances reported;
+- the congestion: how much later than expected the latest first tokens there
+  came, because of other instances' requests or a slow endpoint. It decays
+  within seconds, so that the endpoint is tried again;
+- the prefill of the job's own prompt, less the parts in the endpoint's cache;
+- a penalty for leaving the job's partition (see `lanes`): the prefill of a long
+  prompt delays the tokens of short answers on the same engine, and a short
+  request is delayed among long prompts.
+
+A call that does not stream has no prompt to prefill: its base latency is the
+median response time of such calls, and one overdue call is ignored.
+
+Cache contents are inferred from what this instance sent there and what other
+instances report (see `kept`); missing parts may be fetched (see `fetching`).
+In addition, rendezvous hashing assigns each shared prefix an affinity endpoint,
+the same on all instances without a message. A prefix that no instance has
+reported is assumed to be partly cached there, because other instances send it
+there too.
+
+All time constants are of the order of the latency targets.
 """
 
 from collections import abc as collections_abc
@@ -52,90 +53,96 @@
 
 __all__ = ["FirstEventChoice"]
 
-NEAR_S = 0.02
-"""Fixed part of an endpoint of the own domain of which nothing is known."""
+LOCAL_BASE_S = 0.02
+"""Initial base latency of an endpoint in the own domain."""
 
-FAR_S = 0.15
-"""The same in another domain: a connection and a request there, and the
-answer's beginning back, at 30 ms each way."""
+REMOTE_BASE_S = 0.15
+"""Initial base latency in another domain: connection setup, request and first
+token at 30 ms each way."""
 
 ENGINES_KEPT = 1_024
-"""Endpoints remembered; some more than there are at the target size."""
+"""Endpoints tracked; slightly more than the target size has."""
 
-LONG_READ_SHARE = 0.5
-"""A prompt is long when reading it takes this part of the shortest pause that
-any route of the document allows within an answer."""
+LONG_PREFILL_SHARE = 0.5
+"""A prompt is long when its prefill takes more than this share of the shortest
+pause that any route of the document allows within an answer."""
 
-SHORTEST_PAUSE_S = 0.2
-"""That pause, where no route tells one."""
+DEFAULT_PAUSE_S = 0.2
+"""Shortest allowed pause if no route sets one."""
 
-SHORT_CROSSING_S = 0.3
-"""What a short request waits before it goes among long prompts."""
+SHORT_REQUEST_PENALTY_S = 0.3
+"""Penalty for a short request on an endpoint of the long-prompt partition."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Bounds:
-    """What depends on how much is known of an endpoint's load.
+class _QueueLimits:
+    """Limits that depend on whether all requests of an endpoint are known.
 
     Attributes:
-        long_unread: Known prompts that an endpoint has not read yet, at most,
-            for a long one to go there.
-        short_unread: The same for a short one.
-        long_crossing_share: Part of its target that a long prompt waits rather
-            than take a quiet endpoint.
+        long_unread: A long prompt goes to an endpoint only while fewer known
+            prompts than this wait for their first token there.
+        max_queued_for_short: The same for a short prompt.
+        long_prompt_penalty_share: Penalty for a long prompt on an endpoint of
+            the short-request partition, as a share of its target.
     """
 
     long_unread: int
-    short_unread: int
-    long_crossing_share: float
+    max_queued_for_short: int
+    long_prompt_penalty_share: float
 
 
-OWN_BOUNDS = _Bounds(3, 4, 0.6)
-"""Where an instance knows its own requests only: others send as many."""
+OWN_BOUNDS = _QueueLimits(3, 4, 0.6)
+"""For an instance that knows only its own requests; other instances send as
+many."""
 
-DOMAIN_BOUNDS = _Bounds(8, 12, 2.0)
-"""Where all requests are known. Fewer would leave an endpoint without a prompt
-while the word of its last first event is under way. What keeps long prompts
-from the quiet ones is the price: known to be late, an endpoint of their own
-lane would send them there as soon as there is a burst."""
+DOMAIN_QUEUE_LIMITS = _QueueLimits(8, 12, 2.0)
+"""For an instance that knows all requests of its domain. With lower limits an
+endpoint would idle while the message of its latest first token is in transit.
+The long-prompt penalty is high because the delay of the long-prompt partition
+is known here: a lower one would move long prompts to the short-request
+partition in every burst."""
 
-PATIENCE_SHARE = 0.3
-"""Part of its target that a long prompt waits for its home before it goes
-where its beginning has to be read anew."""
+AFFINITY_WAIT_SHARE = 0.3
+"""Share of its target that a long prompt waits for its affinity endpoint before
+it goes to one that has to prefill the shared prefix again."""
 
-DISPLACING_S = 0.2
-"""What it costs that an endpoint puts back a request: a long prompt is read
-once more."""
+PREEMPTION_PENALTY_S = 0.2
+"""Penalty for an endpoint that has to preempt a request: a long prompt is
+prefilled twice."""
 
-RUNNING_S = 0.001
-"""What each request that runs there adds: it shares the pace."""
+PER_REQUEST_S = 0.001
+"""Added for each running request, because they share the engine's speed."""
 
 
 def _shortest_pause_s(document: schema.Document) -> float:
-    told = [r.longest_pause_s for r in document.routes.values()]
-    return min(filter(None, told), default=SHORTEST_PAUSE_S)
+    pauses_s = [r.longest_pause_s for r in document.routes.values()]
+    return min(filter(None, pauses_s), default=DEFAULT_PAUSE_S)
 
 
 @registry.plugin("choice", "first-event")
 class FirstEventChoice(weighed.WeighedChoice):
-    """Least expected time to the first event, over all candidates."""
+    """Lowest expected time to first token among all candidates."""
 
     displaces = True
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
         self._engines: dict[ids.EndpointId, engine_view.EngineView] = {}
-        self._pace = pace.ReadingPace()
+        self._prefill_time = pace.ReadingPace()
         self._expected_s: dict[ids.RequestId, float] = {}
         self._caches = caches.Caches()
         self._fetch: messages.Fetch | None = None
-        self._quiet: frozenset[ids.EndpointId] = frozenset()
-        self._considered: tuple[ids.RequestId, ids.EndpointId | None] = (
+        self._short_request_endpoints: frozenset[ids.EndpointId] = frozenset()
+        self._considered_affinity: tuple[
+            ids.RequestId, ids.EndpointId | None
+        ] = (
             ids.RequestId(""),
             None,
         )
         self._shortest_pause_s = _shortest_pause_s(context.document)
-        self._bounds = DOMAIN_BOUNDS if context.whole_domain else OWN_BOUNDS
+        self._queue_limits = (
+            DOMAIN_QUEUE_LIMITS if context.whole_domain else OWN_BOUNDS
+        )
 
     def _weighed(
         self, candidates: list[endpoint_module.EndpointState]
@@ -148,45 +155,45 @@
         candidates: list[endpoint_module.EndpointState],
         now_s: float,
     ) -> endpoint_module.EndpointState | None:
-        lane = self._lane(job, candidates)
+        partition = self._partition(job, candidates)
         if not job.prefix_key:
             return None
-        candidates = lane or candidates
+        candidates = partition or candidates
         return weighed.home_among(job.prefix_key, candidates)
 
-    def _lane(
+    def _partition(
         self,
         job: messages.Job,
         candidates: list[endpoint_module.EndpointState],
     ) -> list[endpoint_module.EndpointState]:
-        """Returns the candidates in the lane of a job."""
+        """Returns the candidates in the partition of the job."""
         if not job.prompt_tokens:
             return candidates
-        self._quiet = lanes.quiet_endpoints(
+        self._short_request_endpoints = lanes.quiet_endpoints(
             (state.domain, state.endpoint) for state in candidates
         )
         is_long = self._is_long(job)
         return [
             state
             for state in candidates
-            if (state.endpoint in self._quiet) is not is_long
+            if (state.endpoint in self._short_request_endpoints) is not is_long
         ]
 
     def _is_long(self, job: messages.Job) -> bool:
-        read_s = job.prompt_tokens * self._pace.token_s(job.service)
-        return read_s > LONG_READ_SHARE * self._shortest_pause_s
+        prefill_s = job.prompt_tokens * self._prefill_time.token_s(job.service)
+        return prefill_s > LONG_PREFILL_SHARE * self._shortest_pause_s
 
-    def _crossing_s(
+    def _partition_penalty_s(
         self, job: messages.Job, state: endpoint_module.EndpointState
     ) -> float:
-        if not job.prompt_tokens or not self._quiet:
+        if not job.prompt_tokens or not self._short_request_endpoints:
             return 0.0
-        is_quiet = state.endpoint in self._quiet
+        is_for_short = state.endpoint in self._short_request_endpoints
         if self._is_long(job):
             target_s = job.target_first_token_s
-            share = self._bounds.long_crossing_share
-            return share * target_s if is_quiet else 0.0
-        return 0.0 if is_quiet else SHORT_CROSSING_S
+            share = self._queue_limits.long_prompt_penalty_share
+            return share * target_s if is_for_short else 0.0
+        return 0.0 if is_for_short else SHORT_REQUEST_PENALTY_S
 
     def consider(
         self,
@@ -194,16 +201,19 @@
         states: list[endpoint_module.EndpointState],
         now_s: float,
     ) -> None:
-        """Notes home and keepers of a job among all endpoints."""
-        home = self._home(job, states, now_s) if states else None
-        self._considered = job.request_id, home and home.endpoint
+        """Looks up the affinity endpoint and the cached parts of a job."""
+        affinity = self._home(job, states, now_s) if states else None
+        self._considered_affinity = (
+            job.request_id,
+            affinity and affinity.endpoint,
+        )
         self._caches.consider(job, states, now_s)
 
     def patience_s(self, job: messages.Job) -> float | None:
-        """Returns how long a long prompt waits for an engine that suits it."""
+        """Returns how long a long prompt waits for its affinity endpoint."""
         if not job.prefix_key:
             return None
-        return PATIENCE_SHARE * job.target_first_token_s
+        return AFFINITY_WAIT_SHARE * job.target_first_token_s
 
     def available(
         self,
@@ -211,11 +221,11 @@
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> bool:
-        """Tells whether a prompt may be handed to an endpoint now.
+        """Returns whether a prompt may be sent to an endpoint now.
 
-        Handed over at once, all prompts of a burst lie in the engines'
-        memory, where they drive out the shared beginnings that the next ones
-        need, and no more urgent one can overtake them.
+        If all prompts of a burst were sent at once, they would fill the
+        engines' memory, evict the shared prefixes that later prompts need, and
+        could not be overtaken by a more urgent one.
         """
         if not super().available(job, state, now_s):
             return False
@@ -223,26 +233,26 @@
             return True
         unread = state.unread
         if not self._is_long(job):
-            return unread < self._bounds.short_unread
-        if unread >= self._bounds.long_unread:
+            return unread < self._queue_limits.max_queued_for_short
+        if unread >= self._queue_limits.long_unread:
             return False
-        return self._is_patience_over(job, state, now_s)
+        return self._is_affinity_wait_over(job, state, now_s)
 
-    def _is_patience_over(
+    def _is_affinity_wait_over(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> bool:
-        """Tells whether a job need not wait for its home any longer."""
-        request_id, home = self._considered
-        if request_id != job.request_id or home in (None, state.endpoint):
+        """Returns whether a job need not wait for its affinity endpoint."""
+        request_id, affinity = self._considered_affinity
+        if request_id != job.request_id or affinity in (None, state.endpoint):
             return True
         patience_s = self.patience_s(job) or 0.0
         return now_s - job.arrived_s >= patience_s
 
     def configure(self, document: schema.Document) -> None:
-        """Takes the shortest pause of a newer document."""
+        """Applies the shortest pause of a newer document."""
         super().configure(document)
         self._shortest_pause_s = _shortest_pause_s(document)
 
@@ -253,8 +263,8 @@
         is_home: bool,
         now_s: float,
     ) -> None:
-        """Notes what is expected of a placement, and what its engine reads."""
-        self._expected_s[job.request_id] = self._first_event_s(
+        """Records the expected first token time and the tokens to prefill."""
+        self._expected_s[job.request_id] = self._first_token_s(
             job, state, now_s, is_home
         )
         self._fetch = self._find_fetch(job, state, now_s)
@@ -269,11 +279,11 @@
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> None:
-        """Notes what the endpoint reads, and when its first event is due.
+        """Records a placement that another instance decided.
 
-        What is left to read was worked out where the decision was made.
+        That instance has already set the job's uncached tokens.
         """
-        token_s = self._pace.token_s(state.service)
+        token_s = self._prefill_time.token_s(state.service)
         fixed_s = self._engine(state).fixed_at(now_s)
         self._expected_s[job.request_id] = (
             fixed_s
@@ -290,11 +300,13 @@
     ) -> messages.Fetch | None:
         service = self.document.services.get(job.service)
         fetch_s = fetching.fetch_token_s(service)
-        if fetch_s is None or fetch_s >= self._pace.token_s(job.service):
+        if fetch_s is None or fetch_s >= self._prefill_time.token_s(
+            job.service
+        ):
             return None
-        _, home = self._considered
+        _, affinity = self._considered_affinity
         is_sound = self._failures.is_sound
-        return self._caches.fetch(job, state, home, is_sound, now_s)
+        return self._caches.fetch(job, state, affinity, is_sound, now_s)
 
     def fetch(
         self,
@@ -302,17 +314,17 @@
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> messages.Fetch | None:
-        """Returns where the endpoint just chosen fetches from."""
+        """Returns where the endpoint just chosen fetches cached parts from."""
         return self._fetch
 
     def take_news(self, now_s: float) -> list[messages.KeptNews]:
-        """Returns parts that were read of late, for the other instances."""
+        """Returns parts prefilled recently, for the other instances."""
         return self._caches.parts.take_news(now_s)
 
     def hear(
         self, news: collections_abc.Iterable[messages.KeptNews], now_s: float
     ) -> None:
-        """Takes parts that other instances had read."""
+        """Merges parts that other instances report as cached."""
         self._caches.parts.hear(news, now_s)
 
     def cost_s(
@@ -322,28 +334,32 @@
         now_s: float,
         prefix_there: bool = False,
     ) -> float:
-        """Returns the expected time to the first event, and for crossing.
+        """Returns the expected time to first token plus penalties.
 
-        An endpoint that fails counts as slower; see `failures`.
+        Failures of the endpoint multiply the cost; see `failures`.
         """
         failing = self._failures.slowdown(state.endpoint, now_s)
-        first_s = self._first_event_s(job, state, now_s, prefix_there)
-        more_s = self._crossing_s(job, state) + self._displacing_s(state)
-        return failing * (first_s + more_s)
+        first_token_s = self._first_token_s(job, state, now_s, prefix_there)
+        penalty_s = self._partition_penalty_s(
+            job, state
+        ) + self._preemption_penalty_s(state)
+        return failing * (first_token_s + penalty_s)
 
-    def _displacing_s(self, state: endpoint_module.EndpointState) -> float:
-        """Returns the price of a place that another request has to give up.
+    def _preemption_penalty_s(
+        self, state: endpoint_module.EndpointState
+    ) -> float:
+        """Returns the penalty if another request has to be preempted.
 
-        Without it an urgent request goes to the engine that has just begun on
-        a long prompt, though the next one has a place, and the prompt is read
-        twice.
+        Without it an urgent request would go to an engine that has just
+        started a long prompt although another engine has a free slot, and the
+        prompt would be prefilled twice.
         """
         known = self.context.whole_domain and state.configured_slots
         if known and state.known_running >= state.configured_slots:
-            return DISPLACING_S
+            return PREEMPTION_PENALTY_S
         return 0.0
 
-    def _first_event_s(
+    def _first_token_s(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
@@ -351,7 +367,7 @@
         prefix_there: bool,
     ) -> float:
         engine = self._engine(state)
-        token_s = self._pace.token_s(state.service)
+        token_s = self._prefill_time.token_s(state.service)
         unread = self._caches.unread_tokens(job, state.endpoint, prefix_there)
         waiting = max(state.in_flight - state.configured_slots + 1, 0)
         fixed_s = engine.fixed_at(now_s)
@@ -360,7 +376,7 @@
             + self._backlog_s(job, state, token_s, now_s)
             + engine.congestion_at(now_s)
             + unread * token_s
-            + RUNNING_S * state.in_flight
+            + PER_REQUEST_S * state.in_flight
             + waiting * fixed_s / max(state.configured_slots, 1)
         )
 
@@ -371,40 +387,42 @@
         token_s: float,
         now_s: float,
     ) -> float:
-        """Returns the reading of this instance's prompts still to be done.
+        """Returns the remaining prefill of the prompts there, plus their delay.
 
-        A first event that is overdue tells of more than that: the endpoint is
-        at least as late as it is. A call that does not stream may just be
-        long, so one of them tells nothing. Without that each call of a second
-        or so sent those of that second to other domains, a sixth of all,
-        where the way alone takes half of their target.
+        If a first token is overdue, the endpoint is at least that late. A call
+        that does not stream may just be long, so the most overdue one is
+        ignored. Otherwise each call of a second or so sent the calls of that
+        second to other domains, a sixth of all, where the network latency
+        alone takes half of their target.
         """
-        work_s = 0.0
-        first_s = now_s
-        late_s = [0.0]
+        queued_s = 0.0
+        first_placed_s = now_s
+        overdue_s = [0.0]
         for running in state.running.values():
             if running.first_token_s is not None:
                 continue
-            work_s += running.job.unread_tokens * token_s
-            first_s = min(first_s, running.placed_s)
+            queued_s += running.job.unread_tokens * token_s
+            first_placed_s = min(first_placed_s, running.placed_s)
             expected_s = self._expected_s.get(running.job.request_id, 0.0)
-            late_s.append(now_s - running.placed_s - expected_s)
+            overdue_s.append(now_s - running.placed_s - expected_s)
         if not job.streams:
-            late_s.remove(max(late_s))
-        own_s = max(work_s - (now_s - first_s), 0.0)
-        others_s = state.others_reading_s(token_s, now_s)
-        return own_s + others_s + max(late_s, default=0.0)
+            overdue_s.remove(max(overdue_s))
+        own_prefill_s = max(queued_s - (now_s - first_placed_s), 0.0)
+        peer_prefill_s = state.others_reading_s(token_s, now_s)
+        return own_prefill_s + peer_prefill_s + max(overdue_s, default=0.0)
 
     def _engine(
         self, state: endpoint_module.EndpointState
     ) -> engine_view.EngineView:
         engine = self._engines.get(state.endpoint)
         if engine is None:
-            near = state.domain == self.context.domain
-            engine = engine_view.EngineView(NEAR_S if near else FAR_S)
+            is_local = state.domain == self.context.domain
+            engine = engine_view.EngineView(
+                LOCAL_BASE_S if is_local else REMOTE_BASE_S
+            )
             self._engines[state.endpoint] = engine
             if len(self._engines) > ENGINES_KEPT:
-                # Every start of an endpoint is another one.
+                # A restarted endpoint gets a new id.
                 del self._engines[next(iter(self._engines))]
         return engine
 
@@ -416,7 +434,7 @@
         running: messages.Running,
         now_s: float,
     ) -> None:
-        """Learns the fixed part, the pace of reading and the congestion."""
+        """Updates base latency, prefill time and congestion."""
         super().on_first_token(state, running, now_s)
         engine = self._engine(state)
         took_s = now_s - running.placed_s
@@ -428,11 +446,11 @@
         engine.late(max(took_s - expected_s, 0.0), now_s)
         unread = running.job.unread_tokens
         if unread >= pace.LEAST_TOKENS:
-            read_s = took_s - engine.fixed_s
-            self._pace.learn(state.service, read_s / unread)
+            prefill_s = took_s - engine.fixed_s
+            self._prefill_time.learn(state.service, prefill_s / unread)
             return
-        read_s = unread * self._pace.token_s(state.service)
-        fixed_s = max(took_s - read_s, 0.001)
+        prefill_s = unread * self._prefill_time.token_s(state.service)
+        fixed_s = max(took_s - prefill_s, 0.001)
         if fixed_s < engine.fixed_s:
             engine.learn_fixed(fixed_s, now_s)
 
@@ -443,7 +461,7 @@
         outcome: messages.Outcome,
         now_s: float,
     ) -> None:
-        """Learns that the endpoint failed; forgets the request."""
+        """Records a failure of the endpoint and drops the request."""
         super().on_finish(state, running, outcome, now_s)
         self._expected_s.pop(running.job.request_id, None)
         if outcome is messages.Outcome.CRASHED:
--- a/cardamombarrow/decisions/lanes.py
+++ b/cardamombarrow/decisions/lanes.py
@@ -1,20 +1,21 @@
-"""Keeps long prompts and short requests on different engines.
+"""Separates long prompts and short requests by endpoint.
 
-Load pattern answered: long prompts among short, lively answers. An engine
-reads a prompt in pieces between the tokens of its other requests, so that a
-long prompt makes every answer on that engine stutter for as long as it is
-read. Sent wherever there is room, a few long prompts make most of the short
-answers late, on all engines at once.
+Load pattern: long prompts among short interactive answers. An engine prefills a
+prompt in chunks between the tokens of its other requests, so a long prompt
+delays the tokens of every answer on that engine until its prefill ends. Sent to
+any endpoint with a free slot, a few long prompts make most of the short answers
+late, on all engines at once.
 
-Part of the engines, the quiet ones, are kept for short requests, and the
-others take the long prompts. Which ones follows from the endpoints alone, by
-hash, so that all instances agree without a message. Every domain that has
-more than one engine gets a quiet one before any domain gets a second, so that
-short requests mostly stay near. The lanes are a preference: the choice weighs
-what crossing them costs against what waiting costs.
+Some of the endpoints form the short-request partition; the others take the long
+prompts. The partition is computed from the endpoints alone, by hash, so that
+all instances agree without a message. Every domain with more than one endpoint
+gets one for short requests before any domain gets a second, so that short
+requests mostly stay in their domain. The partition is a preference: the choice
+weighs the cost of leaving it against the cost of waiting.
 
-Short requests make a small part of the reading, but an answer holds its place
-for longer than its prompt is read, so `QUIET_SHARE` is more than that part.
+Short requests cause a small share of the prefill, but an answer holds its slot
+for longer than the prefill of its prompt takes, so `QUIET_SHARE` is greater
+than that share.
 """
 
 from collections import abc
@@ -27,38 +28,38 @@
 
 QUIET_SHARE = 0.35
 
-_Places = tuple[tuple[ids.DomainId, ids.EndpointId], ...]
+_DomainEndpoints = tuple[tuple[ids.DomainId, ids.EndpointId], ...]
 
 
 def quiet_endpoints(
-    places: abc.Iterable[tuple[ids.DomainId, ids.EndpointId]],
+    endpoints: abc.Iterable[tuple[ids.DomainId, ids.EndpointId]],
 ) -> frozenset[ids.EndpointId]:
-    """Returns the endpoints that are kept for short requests.
+    """Returns the endpoints of the short-request partition.
 
     Args:
-        places: Domain and id of every endpoint that takes work.
+        endpoints: Domain and id of every endpoint that accepts new requests.
     """
-    return _work_out(tuple(sorted(places)))
+    return _compute(tuple(sorted(endpoints)))
 
 
 @functools.lru_cache(maxsize=64)
-def _work_out(places: _Places) -> frozenset[ids.EndpointId]:
-    if len(places) < 2:
+def _compute(endpoints: _DomainEndpoints) -> frozenset[ids.EndpointId]:
+    if len(endpoints) < 2:
         return frozenset()
-    wanted = min(max(round(QUIET_SHARE * len(places)), 1), len(places) - 1)
+    count = min(max(round(QUIET_SHARE * len(endpoints)), 1), len(endpoints) - 1)
     by_domain: dict[ids.DomainId, list[ids.EndpointId]] = {}
-    for domain, endpoint in places:
+    for domain, endpoint in endpoints:
         by_domain.setdefault(domain, []).append(endpoint)
     for group in by_domain.values():
         group.sort(key=_hash)
-    # The first of a domain's engines comes before any second one, and the
-    # only engine of a domain last of all.
+    # The first endpoint of each domain ranks before any second one; the only
+    # endpoint of a domain ranks last.
     ranked = sorted(
-        (len(group) == 1, place, -len(group), _hash(endpoint), endpoint)
+        (len(group) == 1, position, -len(group), _hash(endpoint), endpoint)
         for group in by_domain.values()
-        for place, endpoint in enumerate(group)
+        for position, endpoint in enumerate(group)
     )
-    return frozenset(endpoint for *_, endpoint in ranked[:wanted])
+    return frozenset(endpoint for *_, endpoint in ranked[:count])
 
 
 def _hash(endpoint: ids.EndpointId) -> int:
--- a/cardamombarrow/decisions/pace.py
+++ b/cardamombarrow/decisions/pace.py
@@ -1,52 +1,53 @@
-"""How fast the engines of a service read prompts, learnt from first events.
+"""Prefill time per token of a service's engines, learned from first tokens.
 
-Steps of `STEP` follow a change within some tens of prompts. A prompt of
-`LEAST_TOKENS` takes long enough that its reading, not the rest, sets the time.
+Steps of `STEP_FACTOR` follow a change within some tens of prompts. From
+`LEAST_TOKENS` on, the prefill and not the base latency dominates the time to
+first token.
 """
 
 from cardamombarrow.kernel import ids
 
 __all__ = ["LEAST_TOKENS", "ReadingPace"]
 
-FIRST_TOKEN_S = 0.00002
-"""Time to read a prompt token, until one was seen."""
+INITIAL_TOKEN_S = 0.00002
+"""Initial prefill time per token."""
 
 LEAST_TOKENS = 4_000
-"""A prompt from this length on tells the pace; shorter ones tell the fixed part
-of a first event's time."""
+"""Prompts from this length on update the prefill time; shorter ones update the
+base latency."""
 
-STEP = 1.02
+STEP_FACTOR = 1.02
 
-FASTEST_TOKEN_S = 1e-6
-SLOWEST_TOKEN_S = 1e-3
+MIN_TOKEN_S = 1e-6
+MAX_TOKEN_S = 1e-3
 
 
 class ReadingPace:
-    """Time to read a prompt token, by service."""
+    """Prefill time per token, by service."""
 
     def __init__(self, quantile: float = 0.5):
-        """Starts with a guess.
+        """Initializes an estimator without observations.
 
         Args:
-            quantile: Which one of the times seen is followed.
+            quantile: Quantile of the observed times to estimate.
         """
-        self._up = STEP ** (2 * quantile)
-        self._down = STEP ** (2 * quantile - 2)
+        self._up = STEP_FACTOR ** (2 * quantile)
+        self._down = STEP_FACTOR ** (2 * quantile - 2)
         self._token_s: dict[ids.ServiceId, float] = {}
 
     def token_s(self, service: ids.ServiceId) -> float:
-        """Returns the time to read a token."""
-        return self._token_s.get(service, FIRST_TOKEN_S)
+        """Returns the prefill time per token."""
+        return self._token_s.get(service, INITIAL_TOKEN_S)
 
-    def learn(self, service: ids.ServiceId, seen_s: float) -> None:
-        """Moves the time to read a token a step towards what was seen.
+    def learn(self, service: ids.ServiceId, observed_s: float) -> None:
+        """Moves the estimate one step towards an observed time per token.
 
-        Steps of a fixed size lead to a quantile: a prompt that waited for
-        others tells too much, one that was cached against expectation too
-        little, and neither may pull the estimate along.
+        Steps of a fixed size converge to a quantile and so are robust to
+        outliers: a prompt that waited for others takes too long, one that was
+        unexpectedly cached takes too little time.
         """
         token_s = self.token_s(service)
-        step = self._up if seen_s > token_s else self._down
+        step = self._up if observed_s > token_s else self._down
         self._token_s[service] = min(
-            max(token_s * step, FASTEST_TOKEN_S), SLOWEST_TOKEN_S
+            max(token_s * step, MIN_TOKEN_S), MAX_TOKEN_S
         )
--- a/cardamombarrow/decisions/weighed.py
+++ b/cardamombarrow/decisions/weighed.py
@@ -1,7 +1,8 @@
-"""What all choices by cost have in common: failures, probes and homes.
+"""Base of the choices that compare costs: failures, probes and cache affinity.
 
-A cost is a time. The plug-ins differ in what it counts (`choice`: until the
-last token; `first_event`: until the first event) and whom they weigh.
+A cost is a time. The plug-ins differ in the cost (`choice`: time until the
+last token; `first_event`: time until the first token) and in the candidates
+that they compare.
 """
 
 import abc
@@ -19,7 +20,7 @@
 
 
 class WeighedChoice(base.Choice):
-    """Least cost among the candidates that are weighed."""
+    """Lowest cost among the candidates that a subclass compares."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -29,7 +30,7 @@
     def _weighed(
         self, candidates: list[endpoint_module.EndpointState]
     ) -> list[endpoint_module.EndpointState]:
-        """Returns the candidates whose cost is worked out."""
+        """Returns the candidates whose cost is computed."""
 
     @abc.abstractmethod
     def _home(
@@ -48,7 +49,7 @@
         now_s: float,
         prefix_there: bool = False,
     ) -> float:
-        """Returns what placing a job at an endpoint costs, as a time."""
+        """Returns the cost of placing a job at an endpoint, as a time."""
 
     def _chosen(
         self,
@@ -57,7 +58,7 @@
         is_home: bool,
         now_s: float,
     ) -> None:
-        """Learns where a job goes, before it is placed."""
+        """Records the chosen endpoint, before the job is placed."""
 
     def available(
         self,
@@ -65,10 +66,10 @@
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> bool:
-        """Tells whether an endpoint may get a job now.
+        """Returns whether an endpoint may get a job now.
 
-        On probation it gets one job per probe, and only a job that may run
-        again.
+        An endpoint on probation gets one job per probe, and only one that may
+        be repeated.
         """
         if not self._failures.is_on_probation(state.endpoint):
             return True
@@ -81,25 +82,25 @@
         candidates: list[endpoint_module.EndpointState],
         now_s: float,
     ) -> tuple[endpoint_module.EndpointState, str]:
-        """Returns the candidate with the least cost."""
-        home = self._home(job, candidates, now_s)
+        """Returns the candidate with the lowest cost."""
+        affinity = self._home(job, candidates, now_s)
         probe = self._probe(candidates, now_s)
         if probe is not None:
-            self._chosen(job, probe, probe is home, now_s)
+            self._chosen(job, probe, probe is affinity, now_s)
             return probe, "probe after failures"
-        weighed = self._weighed(candidates)
-        if home is not None:
-            weighed = [home, *weighed]
+        compared = self._weighed(candidates)
+        if affinity is not None:
+            compared = [affinity, *compared]
         cost_s, _, chosen = min(
             (
-                self.cost_s(job, state, now_s, state is home),
+                self.cost_s(job, state, now_s, state is affinity),
                 position,
                 state,
             )
-            for position, state in enumerate(weighed)
+            for position, state in enumerate(compared)
         )
-        self._chosen(job, chosen, chosen is home, now_s)
-        prefix = ", home of its prefix" if chosen is home else ""
+        self._chosen(job, chosen, chosen is affinity, now_s)
+        prefix = ", prefix affinity" if chosen is affinity else ""
         return chosen, f"least cost {cost_s:.3f} s{prefix}"
 
     def _probe(
@@ -121,7 +122,7 @@
         running: messages.Running,
         now_s: float,
     ) -> None:
-        """Learns that the endpoint works."""
+        """Records that the endpoint works."""
         self._failures.succeeded(state.endpoint, now_s)
 
     def on_finish(
@@ -131,7 +132,7 @@
         outcome: messages.Outcome,
         now_s: float,
     ) -> None:
-        """Learns that the endpoint works, or that it failed."""
+        """Records that the endpoint works or has failed."""
         if outcome in failures.FAILURES:
             self._failures.failed(state.endpoint, now_s)
         elif outcome is messages.Outcome.FAILURE_ANSWERED:
@@ -143,10 +144,10 @@
 def home_among(
     prefix_key: str, candidates: list[endpoint_module.EndpointState]
 ) -> endpoint_module.EndpointState:
-    """Returns the home of a prefix among some endpoints (at least one).
+    """Returns the affinity endpoint of a prefix among at least one candidate.
 
-    Rendezvous hashing names it, so all instances agree without a message and
-    each cache keeps few prefixes.
+    Rendezvous hashing selects it, so all instances agree without a message and
+    each cache holds few prefixes.
     """
     key = zlib.crc32(prefix_key.encode())
     return max(candidates, key=lambda state: _mix(key, state.endpoint))
@@ -160,9 +161,9 @@
 def _mix(key: int, endpoint: ids.EndpointId) -> int:
     """Returns the rendezvous weight of a prefix at an endpoint.
 
-    A plain checksum of both is linear: 12 prefixes were seen to leave one of
-    four endpoints without any. The two rounds are those that end the 32-bit
-    MurmurHash3 (Appleby, public domain).
+    A plain checksum of both is linear: with 12 prefixes, one of four endpoints
+    got none. The two mixing rounds are the finalizer of the 32-bit MurmurHash3
+    (Appleby, public domain).
     """
     mixed = key ^ _endpoint_hash(endpoint)
     mixed = ((mixed ^ (mixed >> 16)) * 0x85EBCA6B) & 0xFFFFFFFF
