--- a/cardamombarrow/decisions/caches.py
+++ b/cardamombarrow/decisions/caches.py
@@ -1,8 +1,9 @@
-"""What engines' caches hold of the prompt that is placed now.
+"""Cached parts of the prompt that is being placed, by engine.
 
-`kept` knows parts and engines; this module asks it about one request and all
-engines that it could go to: how much each would have to read, and where the
-one that is chosen fetches the rest from (`fetching`).
+`kept` stores which engines hold which parts. This module queries it for one job
+and all engines that the job could go to: how many prompt tokens each engine
+would have to prefill, and where the chosen one fetches missing parts from
+(`fetching`).
 """
 
 from collections import abc
@@ -13,21 +14,22 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
-__all__ = ["HOME_SHARE", "Caches"]
+__all__ = ["UNREPORTED_CACHED_SHARE", "Caches"]
 
-HOME_SHARE = 0.5
-"""Part of a shared beginning of which nobody has told that is reckoned to be
-at its home: it lets the first requests of a beginning find each other."""
+UNREPORTED_CACHED_SHARE = 0.5
+"""Share of a prefix without known holders that is assumed to be cached at its
+affinity endpoint, so that the first requests with this prefix go to the same
+endpoint."""
 
 IsSound = abc.Callable[[ids.EndpointId], bool]
 
 
 class Caches:
-    """The engines' caches, seen from one request at a time."""
+    """State of the engines' caches with respect to the current job."""
 
     def __init__(self):
         self.parts = kept.KeptParts()
-        self._leading: dict[ids.EndpointId, int] = {}
+        self._cached_tokens: dict[ids.EndpointId, int] = {}
         self._domains: dict[ids.EndpointId, ids.DomainId] = {}
 
     def consider(
@@ -36,86 +38,86 @@
         states: list[endpoint_module.EndpointState],
         now_s: float,
     ) -> None:
-        """Takes the request that all else is about, and where it could go."""
-        leading = self.parts.leading_tokens(job, now_s)
+        """Sets the current job and its possible endpoints."""
+        cached_tokens = self.parts.leading_tokens(job, now_s)
         self._domains = {state.endpoint: state.domain for state in states}
-        self._leading = {
+        self._cached_tokens = {
             endpoint: tokens
-            for endpoint, tokens in leading.items()
+            for endpoint, tokens in cached_tokens.items()
             if endpoint in self._domains
         }
 
     def unread_tokens(
         self, job: messages.Job, endpoint: ids.EndpointId, is_home: bool
     ) -> float:
-        """Returns what an engine would have to come by of a prompt."""
-        kept_tokens = float(self._leading.get(endpoint, 0))
+        """Returns the prompt tokens that are not in an engine's cache."""
+        own_tokens = float(self._cached_tokens.get(endpoint, 0))
         if is_home:
-            known = max(self._leading.values(), default=0)
-            unknown = max(_shared_tokens(job) - known, 0)
-            kept_tokens += HOME_SHARE * unknown
-        return max(job.prompt_tokens - kept_tokens, 0.0)
+            reported = max(self._cached_tokens.values(), default=0)
+            unreported = max(_shared_tokens(job) - reported, 0)
+            own_tokens += UNREPORTED_CACHED_SHARE * unreported
+        return max(job.prompt_tokens - own_tokens, 0.0)
 
     def fetch(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
-        home: ids.EndpointId | None,
+        affinity: ids.EndpointId | None,
         is_sound: IsSound,
         now_s: float,
     ) -> messages.Fetch | None:
-        """Returns where the engine that was chosen fetches from.
+        """Returns where the chosen engine fetches cached parts from.
 
         Args:
-            job: The request.
-            state: The engine.
-            home: Home of the prompt's beginning.
-            is_sound: Tells whether an engine has not failed of late. One that
-                is silent would hold up whoever fetches from it.
-            now_s: The time.
+            job: The job, which `consider` has set.
+            state: The chosen engine.
+            affinity: Affinity endpoint of the prompt's prefix.
+            is_sound: Returns whether an engine has not failed recently. A
+                fetch from an unresponsive engine would block.
+            now_s: Current time.
         """
-        leading = self._leading
-        kept_tokens = leading.get(state.endpoint, 0)
-        keepers = dict(leading)
-        if not leading and home is not None:
-            # Nobody has told of it. What was sent to its home within the last
-            # second or two may not have been told yet.
-            keepers[home] = _shared_tokens(job)
+        cached_tokens = self._cached_tokens
+        own_tokens = cached_tokens.get(state.endpoint, 0)
+        holders = dict(cached_tokens)
+        if not cached_tokens and affinity is not None:
+            # No holder is known, but requests sent to the affinity endpoint
+            # within the last second or two may not have been reported yet.
+            holders[affinity] = _shared_tokens(job)
         sources = [
             fetching.Source(
                 tokens, self._domains.get(endpoint) == state.domain, endpoint
             )
-            for endpoint, tokens in keepers.items()
+            for endpoint, tokens in holders.items()
             if endpoint != state.endpoint and is_sound(endpoint)
         ]
         target_s = job.target_first_token_s
-        source = fetching.source_for(kept_tokens, sources, target_s)
+        source = fetching.source_for(own_tokens, sources, target_s)
         if source is None:
             return None
         key = kept.part_key(job.parts[0].part)
         used_s = self.parts.used_s(key, source.endpoint)
         return messages.Fetch(
             source.endpoint,
-            source.tokens - kept_tokens if leading else 0,
+            source.tokens - own_tokens if cached_tokens else 0,
             None if used_s is None else now_s - used_s,
         )
 
     def sent(
         self, job: messages.Job, endpoint: ids.EndpointId, now_s: float
     ) -> None:
-        """Learns that a request goes to an engine, which reads its prompt."""
+        """Records that a job's prompt is sent to an engine."""
         for key in _keys(job.parts):
             self.parts.note(key, endpoint, now_s)
 
     def read(
         self, job: messages.Job, endpoint: ids.EndpointId, now_s: float
     ) -> None:
-        """Learns that an engine has read a prompt; the others are told."""
+        """Queues a prefilled prompt for announcement to other instances."""
         for key in _keys(job.parts[:-1]):
             self.parts.tell(key, endpoint, now_s)
 
     def not_read(self, job: messages.Job, endpoint: ids.EndpointId) -> None:
-        """Learns that an engine has seen nothing of a request sent to it."""
+        """Drops the parts of a job that did not reach its engine."""
         for key in _keys(job.parts):
             self.parts.forget(key, endpoint)
 
--- a/cardamombarrow/decisions/endpoint.py
+++ b/cardamombarrow/decisions/endpoint.py
@@ -1,4 +1,4 @@
-"""What one instance knows of one endpoint."""
+"""State of one endpoint as one instance sees it."""
 
 import dataclasses
 
@@ -10,15 +10,15 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointState:
-    """An endpoint as one instance sees it.
+    """Slots, requests and load of an endpoint.
 
     Attributes:
-        configured_slots: Most requests it runs at once, from the document.
-        leaving: It gets no new work.
+        configured_slots: Most concurrent requests, from the document.
+        leaving: Whether it gets no new requests.
         running: This instance's requests on it.
-        share: Slots of it that this instance may use now.
+        share: Its slots that this instance may use now.
         report: Its last load report, or None.
-        others: What other deciding instances have on it, by instance.
+        others: Load from other instances that place requests, by instance.
     """
 
     endpoint: ids.EndpointId
@@ -37,30 +37,31 @@
 
     @property
     def free_slots(self) -> int:
-        """Slots that this instance may still use."""
+        """Free slots in this instance's share."""
         return self.share - len(self.running)
 
     @property
     def in_flight(self) -> int:
-        """Requests on it: this instance's, and others' by its last report.
+        """Requests on it: this instance's, and others' by the last report.
 
-        The report is late: it misses what this instance placed since, so
-        those are counted from this instance's own books, and only what the
-        report shows beyond its older requests is taken for others' work.
+        The report lacks requests placed since it was measured. Own requests
+        are therefore counted directly, and only the excess of the report over
+        the own requests placed before it counts as other instances' load.
         """
         own = len(self.running)
         if self.report is None:
             return own
         reported = self.report.running + self.report.waiting
         measured_at_s = self.report.measured_at_s
-        old = sum(r.placed_s < measured_at_s for r in self.running.values())
-        return own + max(0, reported - old)
+        included = sum(
+            r.placed_s < measured_at_s for r in self.running.values()
+        )
+        return own + max(0, reported - included)
 
     def held_against(self, rank: int) -> int:
-        """Counts the requests on it that one of a rank finds in its way.
+        """Counts the requests on it that a request of a rank can't preempt.
 
-        An endpoint puts back the less urgent ones where all its places are
-        taken.
+        An endpoint whose slots are all taken preempts less urgent requests.
         """
         own = sum(run.job.rank <= rank for run in self.running.values())
         others = sum(
@@ -72,31 +73,31 @@
 
     @property
     def known_running(self) -> int:
-        """Requests on it, with those that other deciding instances told of."""
+        """Requests on it, with those that other instances reported."""
         others = sum(len(load.ranks) for load in self.others.values())
         return len(self.running) + others
 
     @property
     def unread(self) -> int:
-        """Requests on it without a first event, others' included."""
+        """Requests on it without a first token, other instances' included."""
         own = sum(run.first_token_s is None for run in self.running.values())
         return own + sum(load.unread for load in self.others.values())
 
     def others_reading_s(self, token_s: float, now_s: float) -> float:
-        """Returns the time for which it still reads others' prompts.
+        """Returns the remaining prefill time of other instances' prompts.
 
         Args:
-            token_s: Time to read a token.
-            now_s: The time.
+            token_s: Prefill time per token.
+            now_s: Current time.
         """
-        left_s = (
+        remaining_s = (
             load.unread_tokens * token_s - (now_s - load.seen_at_s)
             for load in self.others.values()
         )
-        return sum(max(each_s, 0.0) for each_s in left_s)
+        return sum(max(prefill_s, 0.0) for prefill_s in remaining_s)
 
     def own_load(self, now_s: float) -> messages.OthersLoad:
-        """Returns what this instance has on it, to be told to others."""
+        """Returns this instance's load on it, to report to other instances."""
         unread = [
             run.job.unread_tokens
             for run in self.running.values()
@@ -111,7 +112,7 @@
 
     @property
     def expected_tokens_left(self) -> float:
-        """Estimated tokens that this instance's requests still need."""
+        """Expected remaining answer tokens of this instance's requests."""
         return sum(
             max(running.job.expected_tokens - running.tokens, 1.0)
             for running in self.running.values()
--- a/cardamombarrow/decisions/engine_view.py
+++ b/cardamombarrow/decisions/engine_view.py
@@ -1,7 +1,7 @@
-"""What one instance has learnt of an engine by its own requests.
+"""Latency of one engine, learned from this instance's own requests.
 
-How late its first events come tells of work that other instances gave it. What
-was learnt fades.
+The delay of its first tokens reflects requests of other instances. Learned
+values decay.
 """
 
 import dataclasses
@@ -9,34 +9,36 @@
 __all__ = ["EngineView"]
 
 CONGESTION_HALF_LIFE_S = 1.0
-"""Time in which half of the congestion that was seen is forgotten."""
+"""Half-life of the observed congestion."""
 
 CONGESTION_WEIGHT = 0.5
 
-FIXED_WEIGHT = 0.1
-"""Weight of one answer in the fixed part of streams."""
+BASE_WEIGHT = 0.1
+"""Weight of one answer in the base latency of streams."""
 
-TYPICAL_STEP = 1.15
-"""Factor of one step of the usual time of plain answers: five double it."""
+MEDIAN_STEP_FACTOR = 1.15
+"""Factor per step of the median time of calls that don't stream; five steps
+double it."""
 
-TYPICAL_LEAST_S = 0.001
+MEDIAN_MIN_S = 0.001
 
-FIXED_HALF_LIFE_S = 20.0
-"""Time without an answer in which half of what was learnt is forgotten. What
-was slow would otherwise never be tried again where others are near."""
+BASE_HALF_LIFE_S = 20.0
+"""Half-life of the base latency without answers. Without decay, a slow endpoint
+would never be tried again while others are near."""
 
 
 @dataclasses.dataclass(slots=True)
 class EngineView:
-    """What is known of one endpoint.
+    """Latency estimates for one endpoint.
 
     Attributes:
-        guess_s: What a first event is taken to need while none was seen.
-        fixed_s: What it takes when nothing is before it; see `fixed_at`.
-        fixed_at_s: When that was learnt.
-        congestion_s: How much later than expected first events came, when
-            one was seen last.
-        congested_at_s: When that was.
+        guess_s: Initial base latency.
+        fixed_s: Base latency: time to first token on an idle endpoint, when
+            last updated; see `fixed_at`.
+        fixed_at_s: When the base latency was last updated.
+        congestion_s: Delay of first tokens over the expected time, when last
+            updated; see `congestion_at`.
+        congested_at_s: When the congestion was last updated.
     """
 
     guess_s: float
@@ -49,36 +51,40 @@
         self.fixed_s = self.guess_s
 
     def congestion_at(self, now_s: float) -> float:
-        """Returns the congestion that is left of what was seen."""
-        past_s = max(now_s - self.congested_at_s, 0.0)
-        return self.congestion_s * 0.5 ** (past_s / CONGESTION_HALF_LIFE_S)
+        """Returns the decayed congestion."""
+        elapsed_s = max(now_s - self.congested_at_s, 0.0)
+        return self.congestion_s * 0.5 ** (elapsed_s / CONGESTION_HALF_LIFE_S)
 
     def late(self, late_s: float, now_s: float) -> None:
-        """Learns by how much a first event came later than expected."""
-        known_s = self.congestion_at(now_s)
-        self.congestion_s = known_s + CONGESTION_WEIGHT * (late_s - known_s)
+        """Updates the congestion with the delay of one first token."""
+        current_s = self.congestion_at(now_s)
+        self.congestion_s = current_s + CONGESTION_WEIGHT * (late_s - current_s)
         self.congested_at_s = now_s
 
     def fixed_at(self, now_s: float) -> float:
-        """Returns the fixed part, nearer to its guess the older it is."""
-        past_s = max(now_s - self.fixed_at_s, 0.0)
-        left = 0.5 ** (past_s / FIXED_HALF_LIFE_S)
-        return self.guess_s + left * (self.fixed_s - self.guess_s)
-
-    def learn_fixed(self, seen_s: float, now_s: float) -> None:
-        """Learns what a first event took with nothing before it."""
-        known_s = self.fixed_at(now_s)
-        self.fixed_s = known_s + FIXED_WEIGHT * (seen_s - known_s)
+        """Returns the base latency, which decays to its initial value."""
+        elapsed_s = max(now_s - self.fixed_at_s, 0.0)
+        remaining_share = 0.5 ** (elapsed_s / BASE_HALF_LIFE_S)
+        return self.guess_s + remaining_share * (self.fixed_s - self.guess_s)
+
+    def learn_fixed(self, observed_s: float, now_s: float) -> None:
+        """Updates the base latency with a first token that had no queue."""
+        current_s = self.fixed_at(now_s)
+        self.fixed_s = current_s + BASE_WEIGHT * (observed_s - current_s)
         self.fixed_at_s = now_s
 
-    def learn_typical(self, seen_s: float, now_s: float) -> None:
-        """Learns what a plain answer took.
+    def learn_typical(self, observed_s: float, now_s: float) -> None:
+        """Updates the base latency with the time of a call without streaming.
 
-        Steps of one size lead to the median: the work of single calls differs
-        by a multiple, and a mean that one of them has doubled sends the next
-        ones elsewhere.
+        Steps of one size converge to the median. The work of single calls
+        varies severalfold, and one of them could double a mean and divert the
+        next calls.
         """
-        known_s = max(self.fixed_at(now_s), TYPICAL_LEAST_S)
-        step = TYPICAL_STEP if seen_s > known_s else 1.0 / TYPICAL_STEP
-        self.fixed_s = known_s * step
+        current_s = max(self.fixed_at(now_s), MEDIAN_MIN_S)
+        step = (
+            MEDIAN_STEP_FACTOR
+            if observed_s > current_s
+            else 1.0 / MEDIAN_STEP_FACTOR
+        )
+        self.fixed_s = current_s * step
         self.fixed_at_s = now_s
--- a/cardamombarrow/decisions/estimate.py
+++ b/cardamombarrow/decisions/estimate.py
@@ -1,20 +1,19 @@
-"""How long an answer will be: quantiles by class, a ratio by workspace.
+"""Expected answer lengths: quantiles by class, a ratio by workspace.
 
 Load pattern: long jobs among short ones, of unknown length, and lengths that
-change during the day. A guess that stays off lets a workspace of long answers
-take more than its part, and makes predicted waits wrong by the same factor.
-
-Lengths are kept by class in two histograms that take turns: one is filled,
-the other is the last full one. Both are read, and after `WINDOW_ANSWERS`
-answers the older is dropped. So an estimate rests on one to two windows of
-answers and forgets what was before, whatever the rate of requests. A
-workspace is kept as one number, its mean length relative to its class, drawn
-towards 1 while it has few answers: 3,800 workspaces with histograms of their
-own would take more memory than an instance has for all of its control.
-
-256 answers place a mean within 4 to 6 % for answers whose standard deviation is
-0.7 to 1 of the mean (sigma / sqrt(n)). `PRIOR_ANSWERS` is the count at which a
-workspace's own answers weigh as much as its class.
+change during the day. With a wrong estimate a workspace of long answers gets
+more than its share, and predicted waits are wrong by the same factor.
+
+Lengths are recorded by class in two alternating histograms: one is filled, the
+other is the last full one. Estimates use both, and after `WINDOW_ANSWERS`
+answers the older one is dropped. So an estimate rests on one to two windows of
+answers, whatever the request rate. A workspace is stored as one number, its
+mean length relative to its class, with a prior of 1: histograms for 3,800
+workspaces would take more memory than an instance has for all of its control.
+
+256 answers give the mean within 4 to 6 % for answers whose standard deviation
+is 0.7 to 1 of the mean (sigma / sqrt(n)). `PRIOR_ANSWERS` is the count at which
+a workspace's own answers weigh as much as its class.
 """
 
 import dataclasses
@@ -30,58 +29,62 @@
 __all__ = ["QuantileEstimate"]
 
 WINDOW_ANSWERS = 256
-LEAST_ANSWERS = 8
-"""Answers of a class below which the document's guess is used."""
+MIN_ANSWERS = 8
+"""Answers of a class below which the document's value is used."""
 
-GUESS_TOKENS = 200.0
-"""Length of answers of a class that the document no longer has."""
+DEFAULT_TOKENS = 200.0
+"""Expected length for a class that the document no longer has."""
 
 PRIOR_ANSWERS = 8.0
-RATIO_WEIGHT = 0.05
-"""Least weight of one answer in its workspace's ratio."""
+MIN_RATIO_WEIGHT = 0.05
+"""Minimum weight of one answer in its workspace's ratio."""
 
-TOKENS_MAX = 100_000
-DIGITS = 2
-WORKSPACES_MAX = 20_000
-"""Pairs of class and workspace kept; the ones not seen longest go first."""
+MAX_TOKENS = 100_000
+SIGNIFICANT_DIGITS = 2
+MAX_RATIOS = 20_000
+"""Most pairs of class and workspace; least recently seen are removed first."""
 
 
 class _Lengths:
-    """The lengths of a class: a histogram being filled, and the last one."""
+    """Answer lengths of a class: the current and the previous histogram."""
 
     def __init__(self):
-        self._new = histogram.HdrHistogram(1, TOKENS_MAX, DIGITS)
-        self._old: histogram.HdrHistogram | None = None
+        self._current = histogram.HdrHistogram(
+            1, MAX_TOKENS, SIGNIFICANT_DIGITS
+        )
+        self._previous: histogram.HdrHistogram | None = None
         self.mean = 0.0
 
     @property
     def count(self) -> int:
-        """Answers that the estimate rests on."""
-        old = self._old.total_count if self._old else 0
-        return self._new.total_count + old
+        """Number of answers in both histograms."""
+        previous = self._previous.total_count if self._previous else 0
+        return self._current.total_count + previous
 
     def add(self, tokens: int) -> None:
         """Records one length."""
-        if self._new.total_count >= WINDOW_ANSWERS:
-            self._old = self._new
-            self._new = histogram.HdrHistogram(1, TOKENS_MAX, DIGITS)
-        self._new.record_value(min(max(tokens, 1), TOKENS_MAX))
+        if self._current.total_count >= WINDOW_ANSWERS:
+            self._previous = self._current
+            self._current = histogram.HdrHistogram(
+                1, MAX_TOKENS, SIGNIFICANT_DIGITS
+            )
+        self._current.record_value(min(max(tokens, 1), MAX_TOKENS))
         count = min(self.count, 2 * WINDOW_ANSWERS)
         self.mean += (tokens - self.mean) / count
 
     def quantile(self, share: float) -> float:
-        """Returns the length that this share of answers does not exceed."""
-        if self._old is None:
-            return float(self._new.get_value_at_percentile(share * 100))
-        both = histogram.HdrHistogram(1, TOKENS_MAX, DIGITS)
-        both.add(self._new)
-        both.add(self._old)
-        return float(both.get_value_at_percentile(share * 100))
+        """Returns the length that this share of the answers does not exceed."""
+        if self._previous is None:
+            return float(self._current.get_value_at_percentile(share * 100))
+        merged = histogram.HdrHistogram(1, MAX_TOKENS, SIGNIFICANT_DIGITS)
+        merged.add(self._current)
+        merged.add(self._previous)
+        return float(merged.get_value_at_percentile(share * 100))
 
 
 @dataclasses.dataclass(slots=True)
 class _Ratio:
-    """A workspace's lengths relative to its class."""
+    """Mean length of a workspace's answers relative to its class."""
 
     value: float = 1.0
     count: int = 0
@@ -89,13 +92,13 @@
     def add(self, ratio: float) -> None:
         """Records one answer."""
         self.count += 1
-        weight = max(1.0 / (self.count + PRIOR_ANSWERS), RATIO_WEIGHT)
+        weight = max(1.0 / (self.count + PRIOR_ANSWERS), MIN_RATIO_WEIGHT)
         self.value += weight * (ratio - self.value)
 
 
 @registry.plugin("estimate", "quantile")
 class QuantileEstimate(base.Estimate):
-    """Lengths by class and workspace, forgetting what is long past."""
+    """Expected lengths by class and workspace from recent answers."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -103,10 +106,10 @@
         self._ratios: dict[tuple[ids.ClassId, ids.WorkspaceId], _Ratio] = {}
 
     def expected_tokens(self, job: messages.Job) -> float:
-        """Returns the mean length, at most what the caller allows."""
+        """Returns the mean length, at most the caller's limit."""
         lengths = self._lengths.get(job.class_id)
-        if lengths is None or lengths.count < LEAST_ANSWERS:
-            mean = self._guess(job.class_id)
+        if lengths is None or lengths.count < MIN_ANSWERS:
+            mean = self._document_tokens(job.class_id)
         else:
             mean = lengths.mean
         ratio = self._ratios.get((job.class_id, job.workspace))
@@ -119,27 +122,31 @@
 
         Args:
             class_id: The class.
-            share: Part of the answers that are no longer, 0 to 1.
+            share: Share of the answers that are at most this long, 0 to 1.
 
         Returns:
-            Tokens; the document's guess before `LEAST_ANSWERS` answers.
+            Tokens; the document's value before `MIN_ANSWERS` answers.
         """
         lengths = self._lengths.get(class_id)
-        if lengths is None or lengths.count < LEAST_ANSWERS:
-            return self._guess(class_id)
+        if lengths is None or lengths.count < MIN_ANSWERS:
+            return self._document_tokens(class_id)
         return lengths.quantile(share)
 
-    def _guess(self, class_id: ids.ClassId) -> float:
-        # An edit may take a class out while its requests are on their way.
-        known = self.document.classes.get(class_id)
-        return float(known.expected_tokens) if known else GUESS_TOKENS
+    def _document_tokens(self, class_id: ids.ClassId) -> float:
+        # An edit may remove a class while its requests are in flight.
+        request_class = self.document.classes.get(class_id)
+        return (
+            float(request_class.expected_tokens)
+            if request_class
+            else DEFAULT_TOKENS
+        )
 
     def learn(self, job: messages.Job, tokens: int) -> None:
-        """Records the length of a whole answer; those without tokens pass."""
+        """Records the length of a complete answer; empty ones are ignored."""
         if tokens <= 0:
             return
         lengths = self._lengths.setdefault(job.class_id, _Lengths())
-        if lengths.count >= LEAST_ANSWERS:
+        if lengths.count >= MIN_ANSWERS:
             self._learn_ratio(job, tokens / lengths.mean)
         lengths.add(tokens)
 
@@ -148,5 +155,5 @@
         ratio = self._ratios.pop(key, None) or _Ratio()
         ratio.add(value)
         self._ratios[key] = ratio
-        if len(self._ratios) > WORKSPACES_MAX:
+        if len(self._ratios) > MAX_RATIOS:
             del self._ratios[next(iter(self._ratios))]
--- a/cardamombarrow/decisions/fetching.py
+++ b/cardamombarrow/decisions/fetching.py
@@ -1,23 +1,22 @@
-"""Whether an engine fetches a prompt's beginning from another one.
-
-Load pattern answered: a beginning that many requests share, sent to an engine
-that has not read it because the one that has it is busy. Reading takes the
-engine's time, and with it that of all requests on it; to fetch it takes the
-link's. Without this module every such request has it read once more.
-
-A part is fetched where the transfer is faster than reading: the bytes a token
-and the pace of the link are told by the document, the pace of reading is
-learnt. A fetch begins with a round trip between the two engines, which a
-request that is in a hurry can't wait for, so it may take part of a target at
-most, and nothing is fetched that is read in less.
-
-It does not decide where a request goes. Weighed there, beginnings drew
-requests nowhere, and the load went wherever it could: three times as much was
-moved, and long prompts made the short answers on all engines stutter.
-
-`FAR_START_S` is a connection and a question over 30 ms each way. `WAIT_SHARE`
-lets every class wait for that but those whose target is so short that it
-matters.
+"""Whether an engine fetches a cached prefix from another engine.
+
+Load pattern: a prefix that many requests share, sent to an engine that does not
+hold it because the engine that does is busy. A prefill takes compute time,
+which delays all requests on the engine; a fetch takes bandwidth. Without this
+module every such request has the prefix prefilled again.
+
+A part is fetched if the transfer is faster than the prefill: the document sets
+the bytes per token and the link rate, the prefill time is learned. A fetch
+starts with a round trip between the two engines, which may take at most a share
+of the request's target; prefixes that prefill in less time are not fetched.
+
+The fetch does not affect where a request is sent. When the choice took it into
+account, prefixes no longer attracted requests and the load spread to any free
+engine: three times as much data was transferred, and long prompts delayed the
+short answers on all engines.
+
+`REMOTE_START_S` is a connection setup and a request over 30 ms each way.
+`WAIT_SHARE` excludes only the classes with targets too short for that wait.
 """
 
 import typing
@@ -33,23 +32,23 @@
     "source_for",
 ]
 
-NEAR_START_S = 0.002
-FAR_START_S = 0.065
-"""Time until a transfer begins, within a domain and between two."""
+LOCAL_START_S = 0.002
+REMOTE_START_S = 0.065
+"""Time until a transfer starts, within a domain and between domains."""
 
 WAIT_SHARE = 0.12
-"""Part of its target that a request waits for a transfer to begin."""
+"""Share of its target that a request waits for a transfer to start."""
 
 LEAST_TOKENS = 256
-"""What is shorter is read."""
+"""Shorter prefixes are prefilled."""
 
 
 class Source(typing.NamedTuple):
-    """What another engine keeps of a prompt's beginning.
+    """An engine that holds a prefix of a prompt.
 
     Attributes:
-        tokens: How much of it, without a gap.
-        is_near: Whether it stands in the domain of the one that fetches.
+        tokens: Length of the prefix that it holds.
+        is_near: Whether it is in the domain of the fetching engine.
         endpoint: The engine.
     """
 
@@ -59,10 +58,10 @@
 
 
 def fetch_token_s(service: schema.Service | None) -> float | None:
-    """Returns the time to fetch a token; None where engines can't fetch.
+    """Returns the transfer time per token; None if engines can't fetch.
 
     Args:
-        service: The engines' service; None where it is not known.
+        service: The engines' service; None if it is unknown.
     """
     if service is None or service.cache_link_mbit_per_s <= 0.0:
         return None
@@ -71,20 +70,20 @@
 
 
 def source_for(
-    kept_tokens: int, sources: list[Source], target_s: float
+    own_tokens: int, sources: list[Source], target_s: float
 ) -> Source | None:
-    """Returns where an engine should fetch from; None to read.
+    """Returns the engine to fetch from; None to prefill instead.
 
     Args:
-        kept_tokens: What of the beginning it keeps itself.
-        sources: What other engines keep; the one with most is taken, of
-            equal ones one that is near.
-        target_s: Time to the first event that was promised.
+        own_tokens: Length of the prefix that the engine itself holds.
+        sources: Other engines that hold a prefix. The longest prefix is
+            preferred, then one in the same domain.
+        target_s: Target time to first token.
     """
     if not sources:
         return None
     source = max(sources)
-    start_s = NEAR_START_S if source.is_near else FAR_START_S
-    if source.tokens - kept_tokens < LEAST_TOKENS:
+    start_s = LOCAL_START_S if source.is_near else REMOTE_START_S
+    if source.tokens - own_tokens < LEAST_TOKENS:
         return None
     return source if start_s <= WAIT_SHARE * target_s else None
--- a/cardamombarrow/decisions/kept.py
+++ b/cardamombarrow/decisions/kept.py
@@ -1,22 +1,22 @@
-"""Which engines should keep which parts of prompts.
-
-Load pattern answered: prompts of many requests that share their beginnings,
-more of them than one engine can read. An engine keeps the parts that it has
-read, and can take them from another engine far sooner than it reads them
-itself. So a request need not go where its beginning is, but somebody has to
-know where that is: what one instance has sent by itself is a small part of
-all. Without this module each engine reads the beginnings anew.
-
-What is known: every instance notes what it sends and tells the others what is
-new in it; see `KeptNews`. An engine can drop a part without anybody hearing of
-it, and may not have read it yet, so this is a hint. What an engine does not
-keep it reads; a wrong hint costs the saving and nothing else. Asking the
-engines themselves would be exact, but costs calls for each engine, domain and
-second, while this grows with the new places of parts only.
-
-`LIFE_S` is about the time in which an engine's memory is filled anew. `HOLDERS`
-are enough to leave a choice of sources where one is lost. `NEWS` bounds what
-one message tells to 2 KB.
+"""Which engines hold which parts of prompts in their caches.
+
+Load pattern: prompts of many requests share prefixes, more of them than one
+engine can prefill. An engine keeps the parts that it has prefilled, and can
+copy them from another engine much faster than it prefills them. So a request
+need not go to the engine that holds its prefix, but the location of the prefix
+must be known, and each instance sends only a small share of all requests.
+Without this module each engine prefills the prefixes again.
+
+Every instance records what it sends and announces new entries to the others;
+see `KeptNews`. An engine may have evicted a part without notice or not have
+prefilled it yet, so the entries are hints: an engine prefills what it lacks,
+and a wrong hint costs only the saving. Querying the engines would be exact,
+but costs calls per engine, domain and second; announcements grow only with the
+number of new locations.
+
+`LIFE_S` is about the time in which an engine's cache is replaced once.
+`HOLDERS` leaves a choice of sources when one is lost. `NEWS` bounds a message
+to 2 KB.
 """
 
 import collections
@@ -30,43 +30,43 @@
 __all__ = ["KeptParts", "part_key"]
 
 LIFE_S = 60.0
-"""A part that was not used for this long counts as dropped."""
+"""A part not used for this long counts as evicted."""
 
 PARTS = 8_192
-"""Parts remembered; the ones used longest ago go first."""
+"""Most parts stored; the least recently used are removed first."""
 
 HOLDERS = 6
-"""Engines remembered for a part; the ones used longest ago go first."""
+"""Most engines per part; the least recently used are removed first."""
 
 NEWS = 400
-"""Most parts that are told to the other instances at a time."""
+"""Most parts announced to the other instances in one message."""
 
 RETELL_S = 10.0
-"""Time after which a part that is still used is told again."""
+"""Time after which a part that is still in use is announced again."""
 
 
 @functools.lru_cache(maxsize=4_096)
 def part_key(part: str) -> int:
-    """Returns the 32 bits by which instances name a part to each other.
+    """Returns the 32-bit key by which instances identify a part.
 
-    Of 8,192 parts two share a key once in 130 cases; an engine is then asked
-    for a part that it does not keep.
+    Among 8,192 parts the probability of a collision is 1 in 130; an engine is
+    then asked for a part that it does not hold.
     """
     return zlib.crc32(part.encode())
 
 
 class KeptParts:
-    """Parts by engine, as far as this instance knows; used by one thread."""
+    """Cached parts by engine, as known to this instance; not thread-safe."""
 
     def __init__(self):
         self._holders: collections.OrderedDict[
             int, dict[ids.EndpointId, float]
         ] = collections.OrderedDict()
-        self._told_s: dict[tuple[int, ids.EndpointId], float] = {}
-        self._news: dict[tuple[int, ids.EndpointId], float] = {}
+        self._announced_at_s: dict[tuple[int, ids.EndpointId], float] = {}
+        self._pending: dict[tuple[int, ids.EndpointId], float] = {}
 
     def note(self, key: int, endpoint: ids.EndpointId, now_s: float) -> None:
-        """Learns that an engine reads a part, or has used it."""
+        """Records that an engine prefills a part or has used it."""
         holders = self._holders.setdefault(key, {})
         self._holders.move_to_end(key)
         holders.pop(endpoint, None)
@@ -77,16 +77,16 @@
             self._holders.popitem(last=False)
 
     def tell(self, key: int, endpoint: ids.EndpointId, now_s: float) -> None:
-        """Has the other instances told of a part that an engine has read."""
+        """Queues a prefilled part for announcement to other instances."""
         pair = key, endpoint
-        if now_s - self._told_s.get(pair, float("-inf")) < RETELL_S:
+        if now_s - self._announced_at_s.get(pair, float("-inf")) < RETELL_S:
             return
-        self._news[pair] = now_s
-        if len(self._news) > NEWS:
-            del self._news[next(iter(self._news))]
+        self._pending[pair] = now_s
+        if len(self._pending) > NEWS:
+            del self._pending[next(iter(self._pending))]
 
     def forget(self, key: int, endpoint: ids.EndpointId) -> None:
-        """Takes back that an engine keeps a part."""
+        """Removes an engine from the holders of a part."""
         holders = self._holders.get(key)
         if holders is not None:
             holders.pop(endpoint, None)
@@ -94,52 +94,56 @@
                 del self._holders[key]
 
     def drop(self, endpoint: ids.EndpointId) -> None:
-        """Forgets all that an engine kept, because it has restarted."""
+        """Removes all parts of an engine, because it has restarted."""
         for key in list(self._holders):
             self.forget(key, endpoint)
 
     def used_s(self, key: int, endpoint: ids.EndpointId) -> float | None:
-        """Returns when an engine used a part last; None if it has it not."""
+        """Returns when an engine last used a part; None if it lacks it."""
         return self._holders.get(key, {}).get(endpoint)
 
     def holds(self, key: int, endpoint: ids.EndpointId, now_s: float) -> bool:
-        """Tells whether a part should be in an engine's memory."""
+        """Returns whether a part is expected in an engine's cache."""
         used_s = self.used_s(key, endpoint)
         return used_s is not None and now_s - used_s <= LIFE_S
 
     def leading_tokens(
         self, job: messages.Job, now_s: float
     ) -> dict[ids.EndpointId, int]:
-        """Returns the tokens of a prompt's beginning that each engine keeps.
+        """Returns the length of the cached prefix by engine, in tokens.
 
-        A part counts only where all parts before it are kept, too.
+        A part counts only if all parts before it are cached, too.
         """
-        leading: dict[ids.EndpointId, int] = {}
-        left: abc.Iterable[ids.EndpointId] | None = None
+        cached_tokens: dict[ids.EndpointId, int] = {}
+        remaining: abc.Iterable[ids.EndpointId] | None = None
         for part in job.parts:
             key = part_key(part.part)
-            known = self._holders.get(key, {}) if left is None else left
-            left = [each for each in known if self.holds(key, each, now_s)]
-            if not left:
+            known = (
+                self._holders.get(key, {}) if remaining is None else remaining
+            )
+            remaining = [each for each in known if self.holds(key, each, now_s)]
+            if not remaining:
                 break
-            for endpoint in left:
-                leading[endpoint] = leading.get(endpoint, 0) + part.tokens
-        return leading
+            for endpoint in remaining:
+                cached_tokens[endpoint] = (
+                    cached_tokens.get(endpoint, 0) + part.tokens
+                )
+        return cached_tokens
 
     def take_news(self, now_s: float) -> list[messages.KeptNews]:
-        """Returns what the other instances were not told yet, by engine."""
-        news, self._news = self._news, {}
+        """Returns and clears the pending announcements, by engine."""
+        news, self._pending = self._pending, {}
         by_endpoint: dict[ids.EndpointId, list[int]] = {}
         oldest_s = now_s
-        for pair, noted_s in news.items():
+        for pair, recorded_s in news.items():
             key, endpoint = pair
             by_endpoint.setdefault(endpoint, []).append(key)
-            self._told_s[pair] = now_s
-            oldest_s = min(oldest_s, noted_s)
-        self._told_s = {
-            pair: told_s
-            for pair, told_s in self._told_s.items()
-            if now_s - told_s < RETELL_S
+            self._announced_at_s[pair] = now_s
+            oldest_s = min(oldest_s, recorded_s)
+        self._announced_at_s = {
+            pair: announced_s
+            for pair, announced_s in self._announced_at_s.items()
+            if now_s - announced_s < RETELL_S
         }
         return [
             messages.KeptNews(endpoint, tuple(keys), now_s - oldest_s)
@@ -147,11 +151,11 @@
         ]
 
     def hear(self, news: abc.Iterable[messages.KeptNews], now_s: float) -> None:
-        """Takes what other instances have told."""
+        """Merges announcements from other instances."""
         for each in news:
             for key in each.parts:
                 used_s = self.used_s(key, each.endpoint)
                 seen_s = now_s - each.age_s
                 if used_s is None or used_s < seen_s:
                     self.note(key, each.endpoint, seen_s)
-                self._told_s[key, each.endpoint] = now_s
+                self._announced_at_s[key, each.endpoint] = now_s
--- a/cardamombarrow/decisions/knowledge.py
+++ b/cardamombarrow/decisions/knowledge.py
@@ -1,4 +1,4 @@
-"""What a dispatcher is told: documents, endpoints, loads, other instances."""
+"""Inputs of a dispatcher: documents, endpoints, loads, other instances."""
 
 from collections import abc
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 class Knowledge:
-    """The policies in force, and all that they go by."""
+    """The policies in force and the state on which they decide."""
 
     def __init__(self, context: context_module.PolicyContext, now_s: float):
         self._context = context
@@ -26,10 +26,10 @@
         self.configure(context.document, now_s)
 
     def configure(self, document: schema.Document, now_s: float) -> None:
-        """Takes a newer document into force.
+        """Applies a newer document.
 
-        Endpoints that are no longer listed get no new work; what runs on them
-        goes on.
+        Endpoints that are no longer listed get no new requests; those running
+        on them continue.
         """
         self._context = dataclasses.replace(self._context, document=document)
         self._policies.configure(self._context, now_s)
@@ -39,16 +39,16 @@
     def set_found(
         self, found: tuple[messages.KnownEndpoint, ...], now_s: float
     ) -> None:
-        """Takes the endpoints that discovery knows, beside the document's."""
+        """Sets the discovered endpoints, in addition to the document's."""
         self._roster.set_found(found, now_s)
         self.refresh_shares(now_s)
 
     def set_instances(self, count: int) -> None:
-        """Learns how many instances share what is bounded over all."""
+        """Sets how many instances share the limits on the whole fleet."""
         self._context.fleet.heard(count)
 
     def refresh_shares(self, now_s: float) -> None:
-        """Works out this instance's slots on every endpoint."""
+        """Recomputes this instance's slots on every endpoint."""
         self._roster.refresh_shares(self.demand(now_s), now_s)
 
     def report(
@@ -56,7 +56,7 @@
         endpoint: ids.EndpointId,
         report: messages.LoadReport,
     ) -> None:
-        """Takes an endpoint's load report."""
+        """Stores an endpoint's load report."""
         self._roster.report(endpoint, report)
 
     def hear_rate_limit(
@@ -66,15 +66,15 @@
         *,
         first_hand: bool = True,
     ) -> messages.RateLimit | None:
-        """Takes what an endpoint states of the rate that it takes.
+        """Updates the rate limit that an endpoint advertises.
 
         Args:
-            endpoint: Who stated it.
-            limit: What it stated.
-            first_hand: Whether this instance had the answer itself.
+            endpoint: The endpoint.
+            limit: Its limit.
+            first_hand: Whether this instance received the answer itself.
 
         Returns:
-            What held before, where the limit has changed; otherwise None.
+            The previous limit if it has changed; otherwise None.
         """
         limits = self._context.rate_limits
         before = limits.hear(endpoint, limit, first_hand=first_hand)
@@ -83,47 +83,47 @@
         return before
 
     def rate_limit_changed(self, endpoint: ids.EndpointId) -> None:
-        """Looks again at an endpoint's service, as its limit has changed."""
+        """Updates an endpoint's service after a change of its rate limit."""
         self._roster.rate_limit_changed(endpoint)
 
     def rate_limit(self, endpoint: ids.EndpointId) -> messages.RateLimit | None:
-        """Returns the limit that an endpoint states; None without one."""
+        """Returns the rate limit that an endpoint advertises, or None."""
         return self._context.rate_limits.limit(endpoint)
 
     def set_leaving(self, endpoint: ids.EndpointId, leaving: bool) -> None:
-        """Takes the platform's or a peer's word that an endpoint leaves."""
+        """Sets whether an endpoint is leaving, from the platform or a peer."""
         self._roster.set_leaving(endpoint, leaving)
 
     def peer(self, demand: messages.PeerDemand) -> None:
-        """Takes another instance's demand."""
+        """Stores another instance's demand."""
         self._roster.peer(demand)
 
     def forget_peer(self, instance: ids.InstanceId) -> None:
-        """Drops an instance that has left."""
+        """Removes an instance that has left."""
         self._roster.forget_peer(instance)
 
     def demand(self, now_s: float) -> messages.PeerDemand:
-        """Returns what this instance asks for, to be gossiped."""
+        """Returns this instance's demand, for gossip."""
         return self._roster.demand(self._waiting.demand, now_s)
 
     def kept_news(self, now_s: float) -> list[messages.KeptNews]:
-        """Returns what is new about engines' caches, for the others."""
+        """Returns and clears pending cache announcements to other instances."""
         return self._policies.choice.take_news(now_s)
 
     def hear_kept(
         self, news: abc.Iterable[messages.KeptNews], now_s: float
     ) -> None:
-        """Takes what other instances know of engines' caches."""
+        """Merges cache announcements from other instances."""
         self._policies.choice.hear(news, now_s)
 
     def quarantine_marks(self, now_s: float) -> dict[ids.Fingerprint, float]:
-        """Returns quarantined fingerprints and seconds left, for gossip."""
+        """Returns quarantined fingerprints and their remaining seconds."""
         return self._policies.quarantine.marks(now_s)
 
     def merge_quarantine(
         self, marks: dict[ids.Fingerprint, float], now_s: float
     ) -> None:
-        """Takes fingerprints that another instance quarantined."""
+        """Merges fingerprints that another instance quarantined."""
         self._policies.quarantine.merge(marks, now_s)
 
     def set_others(
@@ -131,17 +131,17 @@
         instance: ids.InstanceId,
         loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
     ) -> None:
-        """Takes what another deciding instance has on some endpoints."""
+        """Sets the load on endpoints from another placing instance."""
         self._roster.set_others(instance, loads)
 
     def forget_others(self, instance: ids.InstanceId) -> None:
-        """Drops what an instance had told that is heard of no longer."""
+        """Removes the load of an instance that no longer reports."""
         self._roster.forget_others(instance)
 
     def own_loads(
         self, now_s: float
     ) -> dict[ids.EndpointId, messages.OthersLoad]:
-        """Returns what this instance has on endpoints, to be told."""
+        """Returns this instance's load by endpoint, to report to others."""
         return {
             state.endpoint: state.own_load(now_s)
             for state in self._roster.endpoints.values()
@@ -149,7 +149,7 @@
         }
 
     def learn_from(self, other: "Knowledge", now_s: float) -> None:
-        """Takes what another dispatcher of the same process knows."""
+        """Copies the state of another dispatcher of the same process."""
         self._roster.learn_from(other._roster, now_s)
         self.merge_quarantine(other.quarantine_marks(now_s), now_s)
         self.refresh_shares(now_s)
--- a/cardamombarrow/decisions/preemption.py
+++ b/cardamombarrow/decisions/preemption.py
@@ -1,25 +1,25 @@
-"""Which running request gives way to a waiting one.
-
-Load pattern: long answers hold every slot when a short, urgent request comes.
-The next slot comes free only when one of them ends, after seconds, whatever
-the order of the queue; the urgent one misses its target in an idle queue.
-
-A request gives way only to a higher tier, only while its own tier runs more
-than its reserved share of these slots, and only if it may run twice. Among
-those one of whose answer nothing has been delivered goes first (it goes back
-into the queue, and its caller notices a wait), then one that can be resumed,
-then the one with the least tokens, for those are thrown away. And only when
-the waiting request is in danger: a slot may come free by itself, and then
-nothing has to be thrown away.
-
-What is thrown away is bounded: each served token pays `WASTE_SHARE` of a
-token into a budget, and tiers below the highest preempt only out of what the
-budget holds. The highest may overdraw it, for its promise is the tightest.
-
-`DANGER_SHARE` leaves the rest of the target for the cancelled request's end,
-which takes one token's time on a stream, and for the first token; a smaller one
-throws away more and gains nothing. `WASTE_SHARE` is the 2 % of wasted work that
-is aimed at.
+"""Selects a running request to preempt for a waiting one.
+
+Load pattern: long answers hold every slot when a short, urgent request arrives.
+The next slot is released only when one of them ends, after seconds, whatever
+the queue order; the urgent request misses its target although the queue is
+otherwise empty.
+
+A request is preempted only for a higher tier, only while its own tier holds
+more than its reserved share of these slots, and only if it is repeatable. The
+order of preference is: requests without delivered tokens (they are queued
+again, and their callers only wait longer), then resumable ones, then those
+with the fewest tokens, because these are lost. The waiting request must be at
+risk of missing its target: otherwise a slot may be released without any loss.
+
+The loss is bounded: each served token adds `WASTE_SHARE` of a token to a
+budget, and tiers below the highest preempt only within the budget. The highest
+tier may overdraw it, because its target is the tightest.
+
+`RISK_SHARE` leaves the rest of the target for the end of the cancelled
+request, which takes the time of one token on a stream, and for the first token;
+a smaller share increases the loss without benefit. `WASTE_SHARE` is the goal
+for wasted work, 2 %.
 """
 
 import collections
@@ -35,19 +35,19 @@
 
 __all__ = ["LeastProgressPreemption"]
 
-DANGER_SHARE = 0.65
-"""Part of its target after which a waiting request is in danger."""
+RISK_SHARE = 0.65
+"""Share of its target after which a waiting request is at risk."""
 
 WASTE_SHARE = 0.02
-"""Part of a token that each served token pays for those thrown away."""
+"""Tokens added to the budget per served token."""
 
-BUDGET_MAX_TOKENS = 2_000.0
-"""Most that is saved up: a quiet hour must not pay for a wasteful minute."""
+MAX_BUDGET_TOKENS = 2_000.0
+"""Maximum budget: an hour of low load must not pay for a wasteful minute."""
 
 
 @registry.plugin("preemption", "least-progress")
 class LeastProgressPreemption(base.PreemptionPolicy):
-    """Cancels what costs least, for a request whose target is in danger."""
+    """Preempts the request with the least loss for one at risk."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -55,13 +55,13 @@
         self._budget_tokens = 0.0
 
     def configure(self, document: schema.Document) -> None:
-        """Takes newer shares."""
+        """Applies the reserved shares of a newer document."""
         super().configure(document)
         self._tiers = _by_rank(document)
 
     def danger_s(self, job: messages.Job) -> float:
-        """Returns when a waiting job's target is in danger."""
-        return job.arrived_s + DANGER_SHARE * job.target_first_token_s
+        """Returns when a waiting job's target is at risk."""
+        return job.arrived_s + RISK_SHARE * job.target_first_token_s
 
     def victim(
         self,
@@ -69,7 +69,7 @@
         states: list[endpoint_module.EndpointState],
         now_s: float,
     ) -> messages.Running | None:
-        """Returns the request that costs least, or None."""
+        """Returns the request with the least loss, or None."""
         if now_s < self.danger_s(job):
             return None
         running = [
@@ -78,33 +78,37 @@
             for item in state.running.values()
             if item.job.rank > job.rank and not item.preempted
         ]
-        over = self._ranks_over(running, sum(s.share for s in states))
-        willing = [
+        ranks_over = self._ranks_over_reserve(
+            running, sum(s.share for s in states)
+        )
+        preemptible = [
             item
             for item in running
-            if item.job.rank in over and item.job.repeatable
+            if item.job.rank in ranks_over and item.job.repeatable
         ]
-        least = min(willing, key=_cost, default=None)
-        if least is None or not self._affords(job, least):
+        cheapest = min(preemptible, key=_loss_order, default=None)
+        if cheapest is None or not self._is_within_budget(job, cheapest):
             return None
-        self._budget_tokens -= least.tokens
-        return least
+        self._budget_tokens -= cheapest.tokens
+        return cheapest
 
-    def _affords(self, job: messages.Job, victim: messages.Running) -> bool:
+    def _is_within_budget(
+        self, job: messages.Job, victim: messages.Running
+    ) -> bool:
         highest = min(self._tiers, default=0)
         return job.rank == highest or victim.tokens <= self._budget_tokens
 
     def on_finish(
         self, running: messages.Running, outcome: messages.Outcome
     ) -> None:
-        """Pays served tokens into the budget."""
+        """Adds a share of the served tokens to the budget."""
         if outcome is messages.Outcome.DONE:
-            paid = WASTE_SHARE * running.tokens
+            earned = WASTE_SHARE * running.tokens
             self._budget_tokens = min(
-                self._budget_tokens + paid, BUDGET_MAX_TOKENS
+                self._budget_tokens + earned, MAX_BUDGET_TOKENS
             )
 
-    def _ranks_over(
+    def _ranks_over_reserve(
         self, running: list[messages.Running], slots: int
     ) -> set[int]:
         """Returns the ranks that hold more than their reserved slots."""
@@ -124,7 +128,7 @@
     return {tier.rank: tier for tier in document.tiers.values()}
 
 
-def _cost(item: messages.Running) -> tuple[bool, bool, int, int, float]:
+def _loss_order(item: messages.Running) -> tuple[bool, bool, int, int, float]:
     delivered = item.first_token_s is not None
     return (
         delivered,
--- a/cardamombarrow/decisions/rate_budget.py
+++ b/cardamombarrow/decisions/rate_budget.py
@@ -1,7 +1,7 @@
-"""What one dispatcher may send to endpoints that state rate limits.
+"""Requests that one dispatcher may send to rate-limited endpoints.
 
-`rate_limits` keeps the limits and their buckets for the whole instance;
-here they become slots, waits and wake-ups of one dispatcher.
+`rate_limits` stores the limits and token buckets of the whole instance; this
+module derives slots, waits and wake-up times of one dispatcher from them.
 """
 
 from collections import abc
@@ -18,7 +18,7 @@
 
 
 class RateBudget:
-    """Requests that limited endpoints take from this dispatcher."""
+    """One dispatcher's share of the endpoints' rate limits."""
 
     def __init__(self, limits: rate_limits.RateLimits, domain: ids.DomainId):
         self._limits = limits
@@ -26,20 +26,20 @@
         self._due_s: dict[ids.ServiceId, float] = {}
 
     def has_limit(self, states: _States) -> bool:
-        """Tells whether any of some endpoints states a limit."""
+        """Returns whether any of the endpoints advertises a limit."""
         return bool(self._parts(states))
 
     def wait_s(self, states: _States, ahead: int, now_s: float) -> float:
-        """Returns how long a job waits until a limit lets it through.
+        """Returns how long rate limits delay a job.
 
         Args:
-            states: The endpoints that could take it.
-            ahead: Jobs that are served before it.
-            now_s: The time.
+            states: The endpoints that could run it.
+            ahead: Number of jobs that are served before it.
+            now_s: Current time.
 
         Returns:
-            0 where an endpoint states no limit; infinity where all do and
-            another instance spends them.
+            Seconds; 0 if an endpoint has no limit, infinity if all have one
+            and another instance is the delegate.
         """
         parts = self._parts(states)
         if not parts or len(parts) < len(states):
@@ -59,29 +59,29 @@
         share: int,
         capacity: capacity_module.Capacity,
     ) -> int:
-        """Returns the slots that a limit keeps in use (Little's law).
+        """Returns the slots that a rate limit can fill (Little's law).
 
         J. D. C. Little, "A Proof for the Queuing Formula: L = lambda W", 1961.
 
         Args:
             state: The endpoint.
             share: Its slots that this instance may use without a limit.
-            capacity: What is known of its service's slots.
+            capacity: Slots of its service.
         """
         part = self._part(state)
         if part is None:
             return share
         if not self._limits.is_delegate:
             return 0
-        used = math.ceil(part.per_s * capacity.mean_hold_s())
-        return min(share, max(used, 1))
+        usable = math.ceil(part.per_s * capacity.mean_hold_s())
+        return min(share, max(usable, 1))
 
     def may_send(
         self, state: endpoint_module.EndpointState, now_s: float
     ) -> bool:
-        """Tells whether an endpoint takes a request now.
+        """Returns whether a request may be sent to an endpoint now.
 
-        Where it does not, its service is `due` when it does.
+        If not, its service will be returned by `due` once one may be sent.
         """
         part = self._part(state)
         if part is None:
@@ -96,13 +96,13 @@
         return False
 
     def spend(self, state: endpoint_module.EndpointState, now_s: float) -> None:
-        """Counts a request that is sent to an endpoint against its limit."""
+        """Counts a sent request against its endpoint's limit."""
         part = self._part(state)
         if part is not None:
             self._limits.spend(state.endpoint, part, now_s)
 
     def due(self, now_s: float) -> abc.Iterator[ids.ServiceId]:
-        """Yields the services of which an endpoint takes a request again."""
+        """Yields the services with an endpoint that may get a request again."""
         for service, due_s in list(self._due_s.items()):
             if due_s <= now_s:
                 del self._due_s[service]
--- a/cardamombarrow/decisions/rate_limits.py
+++ b/cardamombarrow/decisions/rate_limits.py
@@ -1,27 +1,27 @@
-"""Rate limits that endpoints state, and this instance's part of them.
+"""Rate limits that endpoints advertise, and this instance's share of them.
 
-Load pattern answered: an overloaded endpoint advertises a rate limit for all of
-its clients combined, while dozens of instances each see it idle. Without this
-module every instance goes on by its own estimate, and the endpoint gets many
+Load pattern: an overloaded endpoint advertises a rate limit for all of its
+clients combined, while dozens of instances each see it idle. Without this
+module every instance relies on its own estimate, and the endpoint gets many
 times its limit.
 
-What an answer says holds until a later one says otherwise; a newer statement
-of another instance counts like an own one.
-
-Nobody is asked on the way of a request. A limit is spent in the endpoint's own
-failure domain, by one instance, its *delegate*: the first of the members in the
-order that all of them work out alike. The others send nothing to a limited
-endpoint; what they have for it they hand to the delegate, which places for the
-domain. An instance that is not sure to be the delegate does not send, so a
-lost, frozen or changed delegate leaves a limit unused for some seconds and
-never doubles it for long. The delegates of other domains send a probe now and
-then, because an endpoint that nobody asks can't tell that its limit has ended.
-
-A limit is a token bucket that starts empty. `USED_SHARE` of it is given out,
-which leaves room for probes and for two delegates while views of the members
-differ.
-A probe that nobody had use for lapses: saved, those of all domains would come
-at once with the next burst.
+A limit in an answer applies until a later answer replaces it, whichever
+instance received that answer.
+
+Instances don't coordinate per request. A limit is used only in the endpoint's
+own failure domain, by one instance, its *delegate*: the first member in the
+order that all members compute alike. The other instances send nothing to a
+limited endpoint; they pass their requests for it to the delegate, which places
+for the domain. An instance that is not certain to be the delegate does not
+send. A lost, frozen or changed delegate therefore leaves a limit unused for
+some seconds, and never doubles its rate for long. The delegates of other
+domains send occasional probes, because an endpoint without requests can't
+signal that its limit has ended.
+
+A limit is a token bucket that starts empty. Only `USED_SHARE` of it is used,
+which leaves room for probes, and for two delegates while the instances'
+membership views differ. An unused probe expires: saved probes of all domains
+would arrive together with the next burst.
 """
 
 import dataclasses
@@ -34,35 +34,35 @@
 __all__ = ["Part", "RateLimits", "delegate_part"]
 
 LIMITS_KEPT = 1_024
-"""Endpoints whose statements are remembered; each start may be another one."""
+"""Most endpoints whose limits are stored; a restart may create a new id."""
 
 USED_SHARE = 0.8
-"""Part of a stated limit that is used."""
+"""Share of an advertised limit that is used."""
 
 PROBES_PER_S = 1 / 16
-"""Probes that a delegate of another domain sends; under a limit of zero, those
-of the own one, too."""
+"""Probe rate of the delegate of another domain and, under a limit of zero, of
+the endpoint's own domain."""
 
-PROBE_KEPT_S = 4.0
-"""Time for which a probe that is due may be sent."""
+PROBE_LIFETIME_S = 4.0
+"""Time for which a due probe may be sent."""
 
-BURST_S = 1.0
-"""Time for which an unused part is saved, one whole request at least."""
+ACCUMULATION_S = 1.0
+"""Time over which unused rate accumulates, to one request at least."""
 
 TOLD_S = 30.0
-"""Time for which other instances are told that a limit has ended."""
+"""Time for which the end of a limit is announced to other instances."""
 
-_ROUNDING = 1e-9
+_ROUNDING_ERROR = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """What one instance may send to an endpoint that states a limit.
+    """Rate at which one instance may send to a rate-limited endpoint.
 
     Attributes:
-        per_s: Requests a second.
-        delay_s: Time before the first one is saved for, so that probes of
-            several domains come apart.
+        per_s: Requests per second.
+        delay_s: Time until the bucket starts to fill, which spreads the probes
+            of several domains.
     """
 
     per_s: float
@@ -72,42 +72,42 @@
 def delegate_part(
     limit_per_s: float,
     endpoint: ids.EndpointId,
-    home: ids.DomainId,
-    own: ids.DomainId,
+    endpoint_domain: ids.DomainId,
+    own_domain: ids.DomainId,
 ) -> Part:
-    """Returns what the delegate of a domain may send to an endpoint.
+    """Returns the rate at which a domain's delegate may send to an endpoint.
 
     Args:
-        limit_per_s: The limit that the endpoint states.
+        limit_per_s: The limit that the endpoint advertises.
         endpoint: The endpoint.
-        home: Its failure domain.
-        own: The delegate's.
+        endpoint_domain: The endpoint's failure domain.
+        own_domain: The delegate's failure domain.
     """
-    if own == home:
+    if own_domain == endpoint_domain:
         return Part(max(USED_SHARE * limit_per_s, PROBES_PER_S))
-    phase = zlib.crc32(f"{endpoint}\n{own}".encode()) / (1 << 32)
+    phase = zlib.crc32(f"{endpoint}\n{own_domain}".encode()) / (1 << 32)
     return Part(PROBES_PER_S, phase / PROBES_PER_S)
 
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
-    """Requests that may be sent.
+    """Token bucket of requests that may be sent.
 
     Attributes:
-        since_s: When there were `tokens`.
+        since_s: Time at which the bucket held `tokens`.
     """
 
     since_s: float
     tokens: float = 0.0
 
     def fill(self, rate_per_s: float, now_s: float) -> float:
-        """Returns the tokens that there are now."""
-        most = max(rate_per_s * BURST_S, 1.0)
-        full_s = self.since_s + (most - self.tokens) / rate_per_s
-        if rate_per_s <= PROBES_PER_S and now_s > full_s + PROBE_KEPT_S:
+        """Returns the current number of tokens."""
+        max_tokens = max(rate_per_s * ACCUMULATION_S, 1.0)
+        full_s = self.since_s + (max_tokens - self.tokens) / rate_per_s
+        if rate_per_s <= PROBES_PER_S and now_s > full_s + PROBE_LIFETIME_S:
             self.since_s, self.tokens = now_s, 0.0
-        past_s = max(now_s - self.since_s, 0.0)
-        return min(self.tokens + rate_per_s * past_s, most)
+        elapsed_s = max(now_s - self.since_s, 0.0)
+        return min(self.tokens + rate_per_s * elapsed_s, max_tokens)
 
     def spend(self, rate_per_s: float, now_s: float) -> None:
         """Takes one token."""
@@ -116,21 +116,20 @@
 
 
 class RateLimits:
-    """The newest statement of each endpoint that ever stated a limit.
+    """Latest limit of each endpoint that has ever advertised one.
 
-    One instance's dispatchers share it; its methods may be called from any
-    thread.
+    Shared by the dispatchers of one instance. Thread-safe.
     """
 
     def __init__(self):
         self._lock = threading.Lock()
-        self._heard: dict[ids.EndpointId, messages.RateLimit] = {}
-        self._first_hand: dict[ids.EndpointId, messages.RateLimit] = {}
+        self._latest: dict[ids.EndpointId, messages.RateLimit] = {}
+        self._received: dict[ids.EndpointId, messages.RateLimit] = {}
         self._limited: set[ids.EndpointId] = set()
         self._buckets: dict[ids.EndpointId, _Bucket] = {}
         self._is_delegate = True
 
-    # -- what is stated -------------------------------------------------------
+    # -- advertised limits ----------------------------------------------------
 
     def hear(
         self,
@@ -139,84 +138,87 @@
         *,
         first_hand: bool = True,
     ) -> messages.RateLimit | None:
-        """Takes a statement.
+        """Updates the limit of an endpoint; outdated limits are ignored.
 
         Args:
-            endpoint: Who stated it.
-            limit: What it stated.
-            first_hand: Whether this instance had the answer itself.
+            endpoint: The endpoint.
+            limit: The limit it advertises.
+            first_hand: Whether this instance received the answer itself.
 
         Returns:
-            What held before, where the limit has changed; otherwise None.
+            The previous limit if it has changed; otherwise None.
         """
         with self._lock:
-            known = self._heard.get(endpoint)
-            if known is None:
+            previous = self._latest.get(endpoint)
+            if previous is None:
                 if limit.per_s is None:
                     return None
-                known = messages.RateLimit(None, limit.heard_s)
-            elif limit.heard_s < known.heard_s:
+                previous = messages.RateLimit(None, limit.heard_s)
+            elif limit.heard_s < previous.heard_s:
                 return None
-            self._keep(endpoint, limit, first_hand)
-            return known if known.per_s != limit.per_s else None
+            self._store(endpoint, limit, first_hand)
+            return previous if previous.per_s != limit.per_s else None
 
-    def _keep(
+    def _store(
         self,
         endpoint: ids.EndpointId,
         limit: messages.RateLimit,
         first_hand: bool,
     ) -> None:
-        self._heard.pop(endpoint, None)
-        self._heard[endpoint] = limit
+        self._latest.pop(endpoint, None)
+        self._latest[endpoint] = limit
         if first_hand:
-            self._first_hand[endpoint] = limit
+            self._received[endpoint] = limit
         else:
-            self._first_hand.pop(endpoint, None)
+            self._received.pop(endpoint, None)
         if limit.per_s is None:
             self._limited.discard(endpoint)
             self._buckets.pop(endpoint, None)
         else:
             self._limited.add(endpoint)
-        if len(self._heard) > LIMITS_KEPT:
-            oldest = next(iter(self._heard))
-            for kept in (self._heard, self._first_hand, self._buckets):
-                kept.pop(oldest, None)
+        if len(self._latest) > LIMITS_KEPT:
+            oldest = next(iter(self._latest))
+            for by_endpoint in (self._latest, self._received, self._buckets):
+                by_endpoint.pop(oldest, None)
             self._limited.discard(oldest)
 
     def limit(self, endpoint: ids.EndpointId) -> messages.RateLimit | None:
-        """Returns the limit that an endpoint states; None without one."""
-        heard = self._heard.get(endpoint)
-        return None if heard is None or heard.per_s is None else heard
+        """Returns the limit that an endpoint advertises; None without one."""
+        latest = self._latest.get(endpoint)
+        return None if latest is None or latest.per_s is None else latest
 
     def count(self) -> int:
-        """Counts the endpoints that state a limit."""
+        """Counts the endpoints that advertise a limit."""
         return len(self._limited)
 
     def to_tell(self, now_s: float) -> dict[ids.EndpointId, messages.RateLimit]:
-        """Returns what other instances of the domain are told.
+        """Returns the limits to announce to other instances of the domain.
 
-        Limits that this instance heard itself, and the end of those that
-        ended of late.
+        These are limits that this instance received itself, including those
+        that ended recently.
         """
         with self._lock:
             return {
                 endpoint: limit
-                for endpoint, limit in self._first_hand.items()
+                for endpoint, limit in self._received.items()
                 if limit.per_s is not None or now_s - limit.heard_s < TOLD_S
             }
 
-    # -- what is sent ---------------------------------------------------------
+    # -- sending --------------------------------------------------------------
 
     @property
     def is_delegate(self) -> bool:
-        """Whether this instance spends its domain's parts."""
+        """Whether this instance is its domain's delegate."""
         return self._is_delegate
 
     def set_delegate(self, is_delegate: bool) -> bool:
-        """Learns whether it does; what an earlier one saved is not taken over.
+        """Sets whether this instance is the delegate.
+
+        A new delegate starts with empty buckets, because the previous one may
+        have used its tokens.
 
         Returns:
-            Whether that has changed.
+            Whether the role has changed.
         """
         with self._lock:
             changed = is_delegate != self._is_delegate
@@ -228,16 +230,16 @@
     def ready_s(
         self, endpoint: ids.EndpointId, part: Part, now_s: float
     ) -> float:
-        """Returns when a request may be sent; `now_s` where it may now."""
+        """Returns when a request may be sent; `now_s` if it may be now."""
         with self._lock:
             bucket = self._bucket(endpoint, part, now_s)
             tokens = bucket.fill(part.per_s, now_s)
-        if tokens >= 1.0 - _ROUNDING:
+        if tokens >= 1.0 - _ROUNDING_ERROR:
             return now_s
         return max(now_s, bucket.since_s) + (1.0 - tokens) / part.per_s
 
     def spend(self, endpoint: ids.EndpointId, part: Part, now_s: float) -> None:
-        """Counts a request that is sent; what is overspent is waited for."""
+        """Takes a token for a request; the bucket may become negative."""
         with self._lock:
             self._bucket(endpoint, part, now_s).spend(part.per_s, now_s)
 
--- a/cardamombarrow/decisions/spill.py
+++ b/cardamombarrow/decisions/spill.py
@@ -1,16 +1,16 @@
 """When a job may leave its failure domain.
 
-Load pattern answered: a burst in one domain while another is idle. Without
-this module the callers of one place wait beside idle engines of the next;
-sent away freely, they would run up the bill for traffic between regions.
+Load pattern: a burst in one domain while another is idle. Without this module
+the requests of one domain wait although engines of the next one are idle;
+without a limit they would run up the cost of traffic between regions.
 
-A job may go only when its predicted wait here, with the usual time to a first
-token, breaks its class's target, and only while the bucket of bytes has room
-for its prompt and expected answer. A long prompt needs a fuller bucket than a
-short one, so when bytes are scarce long prompts stay.
+A job may leave only if its predicted wait in its own domain plus the usual time
+to first token exceeds its class's target, and only while the token bucket of
+bytes covers its prompt and expected answer. A long prompt needs a fuller bucket
+than a short one, so long prompts stay when the budget is short.
 
-A token is reckoned as four bytes of prompt, and as 200 bytes of answer, which
-is a streamed event of the OpenAI format.
+A token counts as four bytes of prompt, or as 200 bytes of answer, the size of a
+streamed event in the OpenAI format.
 """
 
 from cardamombarrow.decisions import base
@@ -32,12 +32,12 @@
 
 @registry.plugin("spill", "budget")
 class BudgetSpill(base.Spill):
-    """Other domains for jobs in danger, within a token bucket of bytes."""
+    """Remote placement of jobs at risk, within a token bucket of bytes."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
-        self._bytes = BUCKET_BYTES
-        self._filled_at_s = 0.0
+        self._available_bytes = BUCKET_BYTES
+        self._refilled_at_s = 0.0
 
     def allow(
         self,
@@ -46,15 +46,17 @@
         local: messages.Backlog,
         now_s: float,
     ) -> bool:
-        """Tells whether the job may go to an endpoint of another domain."""
+        """Returns whether the job may go to an endpoint of another domain."""
         waited_s = max(now_s - job.arrived_s, 0.0)
         first_s = waited_s + local.predicted_wait_s + local.first_token_s
         if first_s <= job.target_first_token_s:
             return False
-        self._fill(now_s)
+        self._refill(now_s)
         prompt_bytes = job.prompt_tokens * PROMPT_TOKEN_BYTES
-        kept = min(1.0, prompt_bytes / LONG_PROMPT_BYTES) * BUCKET_BYTES
-        return self._bytes >= max(_cost_bytes(job), kept)
+        required_bytes = (
+            min(1.0, prompt_bytes / LONG_PROMPT_BYTES) * BUCKET_BYTES
+        )
+        return self._available_bytes >= max(_cost_bytes(job), required_bytes)
 
     def on_place(
         self,
@@ -63,18 +65,20 @@
         now_s: float,
     ) -> None:
         """Takes the job's bytes out of the bucket."""
-        self._fill(now_s)
-        self._bytes -= _cost_bytes(job)
+        self._refill(now_s)
+        self._available_bytes -= _cost_bytes(job)
 
-    def _fill(self, now_s: float) -> None:
-        past_s = max(now_s - self._filled_at_s, 0.0)
-        self._bytes = min(BUCKET_BYTES, self._bytes + past_s * BYTES_PER_S)
-        self._filled_at_s = now_s
+    def _refill(self, now_s: float) -> None:
+        elapsed_s = max(now_s - self._refilled_at_s, 0.0)
+        self._available_bytes = min(
+            BUCKET_BYTES, self._available_bytes + elapsed_s * BYTES_PER_S
+        )
+        self._refilled_at_s = now_s
 
 
 @registry.plugin("spill", "weighed")
 class WeighedSpill(base.Spill):
-    """All domains' endpoints together; the choice weighs the distance."""
+    """No restriction: the choice accounts for the distance."""
 
     joins_domains = True
 
@@ -85,7 +89,7 @@
         local: messages.Backlog,
         now_s: float,
     ) -> bool:
-        """Allows it."""
+        """Always allows it."""
         return True
 
 
