--- a/cardamombarrow/control/core.py
+++ b/cardamombarrow/control/core.py
@@ -232,13 +232,13 @@
                     future.result(FIRST_DOCUMENT_TIMEOUT_S)
 
 
-def _place(settings: settings_module.ControlSettings) -> driver.LogPlace:
+def _place(settings: settings_module.ControlSettings) -> driver.MemberConfig:
     """Returns where this process stands in the log."""
     name = settings.instance.id
     listed = _voters(settings)
     peers = settings.peers
     own = peers.address or f"{peers.host}:{peers.port}"
-    return driver.LogPlace(
+    return driver.MemberConfig(
         folder=pathlib.Path(settings.state.folder),
         me=membership.Member(membership.VoterId(name), listed.get(name, own)),
         contacts=tuple(
@@ -274,17 +274,19 @@
         errors.ConfigError: The data folder is damaged.
     """
     place = _place(settings)
-    tending = log_state.Tending(wanted_voters=settings.state.wanted_voters())
+    membership_policy = log_state.MembershipPolicy(
+        wanted_voters=settings.state.wanted_voters()
+    )
     while True:
         try:
             return driver.ReplicatedLog(
-                place, state, transport, tending=tending
+                place, state, transport, membership_policy=membership_policy
             )
         except storage.CorruptError as error:
             raise errors.ConfigError([str(error)]) from None
         except OSError as error:
             logs.event("disk refuses at the start", "ERROR", detail=str(error))
-            time.sleep(driver.REFUSED_RETRY_S)
+            time.sleep(driver.WRITE_RETRY_S)
 
 
 def _orders_document(
--- a/cardamombarrow/log/core.py
+++ b/cardamombarrow/log/core.py
@@ -7,7 +7,7 @@
 
 Example:
     >>> core.step(envelope, now_s)  # doctest: +SKIP
-    >>> output = core.take(now_s)  # doctest: +SKIP
+    >>> output = core.take_output(now_s)  # doctest: +SKIP
     >>> storage.save(output.writes)  # doctest: +SKIP
     >>> transport.send(output.envelopes)  # doctest: +SKIP
 """
@@ -40,14 +40,14 @@
     def __init__(
         self,
         me: membership_module.Member,
-        durable: state_module.Durable,
+        durable: state_module.DurableState,
         rng: random.Random,
         now_s: float,
         timing: state_module.Timing | None = None,
         contacts: tuple[membership_module.Member, ...] = (),
         is_founder: bool = False,
         keep_entries: int = KEEP_ENTRIES,
-        tending: state_module.Tending | None = None,
+        membership_policy: state_module.MembershipPolicy | None = None,
     ):
         """Starts a member.
 
@@ -61,10 +61,13 @@
                 their `id` is the name without the random part.
             is_founder: Whether this process is the first in that list.
             keep_entries: Entries retained before a snapshot.
-            tending: How the leader changes the membership automatically.
+            membership_policy: How the leader changes the membership without
+                an operator.
         """
         timing = timing or state_module.Timing()
-        state = state_module.CoreState(me, durable, timing, rng, now_s, tending)
+        state = state_module.CoreState(
+            me, durable, timing, rng, now_s, membership_policy
+        )
         self.state = state
         self._keep_entries = keep_entries
         self._last_output_index = state.log.snapshot.index
@@ -100,9 +103,9 @@
         state.now_s = max(state.now_s, now_s)
         if envelope.target and envelope.target != state.me.id:
             if envelope.relayed and envelope.hop == state.me.id:
-                state.pass_on(envelope)
+                state.relay(envelope)
             return
-        state.heard_from(envelope, via)
+        state.record_route(envelope, via)
         self._handlers[type(envelope.message)](
             envelope.source, envelope.message
         )
@@ -112,12 +115,12 @@
         self.state.now_s = max(self.state.now_s, now_s)
         self._joining.tick()
         if self._election.tick():
-            self._leading.begin()
+            self._leading.become_leader()
         state = self.state
         if state.is_leader:
             self._leading.tick()
-        elif not state.follows_live_leader():
-            silent_s = state.now_s - state.leader_heard_s
+        elif not state.has_live_leader():
+            silent_s = state.now_s - state.leader_contact_s
             if silent_s >= state.timing.election_max_s:
                 state.leader = membership_module.NOBODY
         if state.is_leader and self._leading.may_change():
@@ -128,12 +131,12 @@
     def propose(
         self, kind: messages.EntryKind, data: bytes
     ) -> messages.ProposalId:
-        """Adds a proposal; `take` returns its entry once it is committed."""
+        """Adds a proposal; `take_output` returns its entry when committed."""
         return self._proposals.add(kind, data)
 
-    def forget(self, number: messages.ProposalId) -> None:
+    def stop_resending(self, number: messages.ProposalId) -> None:
         """Stops sending a proposal again; it may still be committed."""
-        self._proposals.forget(number)
+        self._proposals.stop_resending(number)
 
     def compact(self, index: int, data: bytes) -> None:
         """Installs a snapshot of the state machine and drops old entries.
@@ -160,12 +163,12 @@
             )
         )
 
-    def stored(self, snapshot: messages.Snapshot) -> None:
+    def use_stored_snapshot(self, snapshot: messages.Snapshot) -> None:
         """Replaces a snapshot in memory by its stored file."""
         if snapshot.index == self.state.log.snapshot.index:
             self.state.log.snapshot = snapshot
 
-    def take(self, now_s: float) -> messages.Output:
+    def take_output(self, now_s: float) -> messages.Output:
         """Returns the output of all steps since the last call."""
         state = self.state
         state.now_s = max(state.now_s, now_s)
@@ -181,7 +184,7 @@
             )
             self._last_output_index = state.commit_index
         for entry in output.committed:
-            self._proposals.forget(entry.proposal)
+            self._proposals.stop_resending(entry.proposal)
         return output
 
     @property
@@ -190,7 +193,7 @@
         state = self.state
         if state.is_leader:
             return True
-        silent_s = state.now_s - state.leader_heard_s
+        silent_s = state.now_s - state.leader_contact_s
         return bool(state.leader) and silent_s < state.timing.election_max_s
 
     @property
@@ -202,7 +205,7 @@
         """Returns the time by which `tick` must be called next."""
         state = self.state
         if self._joining.is_outside:
-            return self._joining.due_s
+            return self._joining.next_request_s
         if state.is_leader:
             return self._leading.heartbeat_due_s
         retry_s = state.now_s + state.timing.retry_s
@@ -222,7 +225,7 @@
         self, source: membership_module.VoterId, reply: messages.VoteReply
     ) -> None:
         if self._election.on_reply(source, reply):
-            self._leading.begin()
+            self._leading.become_leader()
 
     def _on_append_reply(
         self, source: membership_module.VoterId, reply: messages.AppendReply
--- a/cardamombarrow/log/driver.py
+++ b/cardamombarrow/log/driver.py
@@ -28,7 +28,7 @@
 from cardamombarrow.log import state as state_module
 from cardamombarrow.log import waiters as waiters_module
 
-__all__ = ["LogPlace", "ReplicatedLog", "Transport"]
+__all__ = ["MemberConfig", "ReplicatedLog", "Transport"]
 
 PROPOSE_TIMEOUT_S = 5.0
 """Timeout of a proposal: two elections and one retry."""
@@ -47,10 +47,10 @@
 """The status reports no quorum if the log thread's loop has been blocked for
 this long, for example by a hanging disk."""
 
-REFUSED_RETRY_S = 0.2
+WRITE_RETRY_S = 0.2
 """Interval at which a failed write is tried again."""
 
-MOST_RECEIVED = 2_000
+MAX_QUEUED_BATCHES = 2_000
 """Maximum number of received batches of messages that are queued while the disk
 hangs."""
 
@@ -86,7 +86,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LogPlace:
+class MemberConfig:
     """Configuration of a member of the log.
 
     Attributes:
@@ -127,11 +127,11 @@
 
     def __init__(
         self,
-        place: LogPlace,
+        config: MemberConfig,
         machine: base.StateMachine,
         transport: Transport,
         timing: state_module.Timing | None = None,
-        tending: state_module.Tending | None = None,
+        membership_policy: state_module.MembershipPolicy | None = None,
     ):
         """Opens the data folder and rebuilds the state machine.
 
@@ -143,16 +143,16 @@
         self._apply_queue: queue.SimpleQueue = queue.SimpleQueue()
         self._waiters = waiters_module.Waiters()
         self._runner = runner_module.Runner(
-            place.folder,
-            place.me,
+            config.folder,
+            config.me,
             machine,
-            place.contacts,
-            place.is_founder,
+            config.contacts,
+            config.is_founder,
             random.Random(),
             time.monotonic(),
             os.fsync,
             timing,
-            tending=tending,
+            membership_policy=membership_policy,
         )
         self._core = self._runner.core
         self._last_quorum_s = time.monotonic()
@@ -190,7 +190,9 @@
         for thread in self._threads:
             thread.join(timeout=5)
         self._waiters.expire(
-            time.monotonic(), _no_quorum("this process is stopping"), lost=True
+            time.monotonic(),
+            _no_quorum("this process is stopping"),
+            fail_all=True,
         )
         self._runner.storage.close()
 
@@ -203,7 +205,7 @@
     ) -> None:
         # The inbox is not read while the disk hangs or fails. The other
         # members send dropped messages again.
-        if self._inbox.qsize() < MOST_RECEIVED:
+        if self._inbox.qsize() < MAX_QUEUED_BATCHES:
             self._inbox.put(_Received(envelopes, via))
 
     def propose(self, command: bytes) -> futures.Future[bytes]:
@@ -280,7 +282,7 @@
             logs.event("log thread failed", "CRITICAL", detail=repr(error))
             os._exit(1)
 
-    def _on_refused(self, error: OSError) -> None:
+    def _on_write_error(self, error: OSError) -> None:
         """Waits before a failed write is tried again.
 
         While the disk is full or failing, this member sends nothing, because
@@ -291,7 +293,7 @@
         if self._write_failed_s is None:
             self._write_failed_s = time.monotonic()
             logs.event("disk writes fail", "ERROR", detail=str(error))
-        if self._stopped.wait(REFUSED_RETRY_S):
+        if self._stopped.wait(WRITE_RETRY_S):
             raise _StoppingError
 
     def _run_once(self) -> bool:
@@ -304,7 +306,7 @@
             self._handle(item)
         now_s = time.monotonic()
         self._core.tick(now_s)
-        output = self._runner.persist(now_s, self._on_refused)
+        output = self._runner.persist(now_s, self._on_write_error)
         if self._write_failed_s is not None:
             failing_s = time.monotonic() - self._write_failed_s
             self._write_failed_s = None
@@ -352,10 +354,10 @@
         expired = self._waiters.expire(
             now_s,
             _no_quorum("not committed in time; may still be committed"),
-            lost=now_s - self._last_quorum_s > NO_QUORUM_S,
+            fail_all=now_s - self._last_quorum_s > NO_QUORUM_S,
         )
         for number in expired:
-            self._core.forget(number)
+            self._core.stop_resending(number)
 
     def _update_status(self, now_s: float) -> None:
         if self._core.has_quorum:
@@ -413,8 +415,8 @@
     def _snapshot_if_due(self) -> None:
         last_bytes = self._core.state.log.snapshot.data.size_bytes
         limit_bytes = max(SNAPSHOT_MIN_BYTES, SNAPSHOT_FACTOR * last_bytes)
-        grown_bytes = self._runner.storage.grown_bytes
-        if self._snapshot_pending or grown_bytes < limit_bytes:
+        bytes_since_rewrite = self._runner.storage.bytes_since_rewrite
+        if self._snapshot_pending or bytes_since_rewrite < limit_bytes:
             return
         self._snapshot_pending = True
         replica = self._runner.replica
--- a/cardamombarrow/log/election.py
+++ b/cardamombarrow/log/election.py
@@ -69,9 +69,7 @@
         be one in the candidate's newer membership, and its vote is durable.
         """
         state = self._state
-        has_other_leader = (
-            state.follows_live_leader() and source != state.leader
-        )
+        has_other_leader = state.has_live_leader() and source != state.leader
         if has_other_leader:
             self._reply(source, request, granted=False)
             return
--- a/cardamombarrow/log/following.py
+++ b/cardamombarrow/log/following.py
@@ -20,7 +20,7 @@
         if term < state.term:
             return False
         state.follow(term, source)
-        state.leader_heard_s = state.now_s
+        state.leader_contact_s = state.now_s
         state.reset_election_timer()
         return True
 
--- a/cardamombarrow/log/joining.py
+++ b/cardamombarrow/log/joining.py
@@ -30,7 +30,7 @@
         self._proposals = proposals
         self._contacts = contacts
         self._is_founder = is_founder
-        self._due_s = 0.0
+        self._next_request_s = 0.0
         self._ungrouped: dict[str, membership_module.Member] = {}
         self.applicants: dict[str, membership_module.Member] = {}
 
@@ -40,19 +40,19 @@
         return not self._state.log.membership.members
 
     @property
-    def due_s(self) -> float:
+    def next_request_s(self) -> float:
         """Time of the next join request."""
-        return self._due_s
+        return self._next_request_s
 
     def tick(self) -> None:
         """Founds the group or sends join requests, if due."""
         state = self._state
-        if state.now_s < self._due_s:
+        if state.now_s < self._next_request_s:
             return
         if not self.is_outside:
             self._request_rejoin()
             return
-        self._due_s = state.now_s + state.timing.join_s
+        self._next_request_s = state.now_s + state.timing.join_interval_s
         if self._is_founder and len(self._ungrouped) == len(self._contacts):
             self._found_group()
             return
@@ -65,11 +65,11 @@
         The group sends no more messages to it, so it would wait forever.
         """
         state = self._state
-        self._due_s = state.now_s + 2 * state.timing.join_s
-        silent_s = state.now_s - state.leader_heard_s
-        if not state.tending.wanted_voters or state.is_leader:
+        self._next_request_s = state.now_s + 2 * state.timing.join_interval_s
+        silent_s = state.now_s - state.leader_contact_s
+        if not state.membership_policy.wanted_voters or state.is_leader:
             return
-        if silent_s < state.tending.rejoin_after_s:
+        if silent_s < state.membership_policy.rejoin_after_s:
             return
         known = [m for m in state.log.membership.members if m != state.me]
         addresses = {member.address for member in known}
@@ -122,13 +122,13 @@
         if source == applicant.id and not state.is_leader:
             # The leader may be missing in the applicant's settings.
             state.send(state.leader, request)
-        wanted = state.tending.wanted_voters
+        wanted = state.membership_policy.wanted_voters
         has_room = wanted and (
-            len(membership.members) < state.tending.most_members
+            len(membership.members) < state.membership_policy.max_members
         )
         if has_room or any(
             other.automatic or other in membership.voters
-            for other in membership.others_named_as(applicant)
+            for other in membership.other_identities(applicant)
         ):
             self._add_learner(applicant)
         else:
--- a/cardamombarrow/log/leading.py
+++ b/cardamombarrow/log/leading.py
@@ -14,10 +14,10 @@
 CHUNK_LIMIT_BYTES = 262_144
 """Maximum snapshot bytes of one message."""
 
-WINDOW = 2_048
+MAX_IN_FLIGHT_ENTRIES = 2_048
 """Maximum number of unacknowledged entries sent to a member."""
 
-CAUGHT_UP = 64
+MAX_LAG_ENTRIES = 64
 """A member at most this many entries behind counts as caught up."""
 
 
@@ -32,7 +32,7 @@
         self._heartbeat_due_s = 0.0
         self._first_index = 0
 
-    def begin(self) -> None:
+    def become_leader(self) -> None:
         """Becomes the leader of the current term and appends a no-op.
 
         Entries of earlier terms are committed only together with an entry of
@@ -102,7 +102,9 @@
         """
         state = self._state
         removed = not state.is_voter and self.may_change()
-        if removed or not state.log.membership.is_majority(self.alive()):
+        if removed or not state.log.membership.is_majority(
+            self.reachable_members()
+        ):
             state.follow(state.term, membership_module.NOBODY)
             return
         state.redundant = self._is_redundant()
@@ -112,20 +114,20 @@
         for voter in self._others():
             self._send(voter, self.progress_of(voter), heartbeat=True)
 
-    def alive(self) -> list[membership_module.VoterId]:
+    def reachable_members(self) -> list[membership_module.VoterId]:
         """Returns this leader and the members with recent contact."""
         state = self._state
         since_s = state.now_s - state.timing.election_min_s
         voters = [state.me.id]
         for voter in self._others():
-            if self.progress_of(voter).heard_s >= since_s:
+            if self.progress_of(voter).last_contact_s >= since_s:
                 voters.append(voter)
         return voters
 
     def _is_redundant(self) -> bool:
         membership = self._state.log.membership
-        alive = set(self.alive()) & membership.voter_ids
-        caught_up = [voter for voter in alive if self._is_caught_up(voter)]
+        reachable = set(self.reachable_members()) & membership.voter_ids
+        caught_up = [voter for voter in reachable if self._is_caught_up(voter)]
         return len(caught_up) >= membership.quorum + 1
 
     def _is_caught_up(self, voter: membership_module.VoterId) -> bool:
@@ -133,7 +135,7 @@
         if voter == state.me.id:
             return True
         match_index = self.progress_of(voter).match_index
-        return 0 < match_index >= state.commit_index - CAUGHT_UP
+        return 0 < match_index >= state.commit_index - MAX_LAG_ENTRIES
 
     def flush(self) -> None:
         """Sends the entries appended in this step."""
@@ -141,7 +143,7 @@
             progress = self.progress_of(voter)
             # A new commit index is sent at once. Otherwise a client of a
             # follower would wait for the next heartbeat.
-            is_current = progress.commit_sent >= self._state.commit_index
+            is_current = progress.sent_commit_index >= self._state.commit_index
             if (
                 progress.next_index <= self._state.log.last_index
                 or not is_current
@@ -181,13 +183,13 @@
     ) -> None:
         state, log = self._state, self._state.log
         prev_index = progress.next_index - 1
-        last = min(log.last_index, progress.match_index + WINDOW)
+        last = min(log.last_index, progress.match_index + MAX_IN_FLIGHT_ENTRIES)
         entries: tuple[messages.Entry, ...] = ()
         if not progress.probing and last > prev_index:
             entries = log.slice(prev_index + 1, last, MESSAGE_LIMIT_BYTES)
             progress.next_index += len(entries)
             progress.sent_s = state.now_s
-        progress.commit_sent = state.commit_index
+        progress.sent_commit_index = state.commit_index
         state.send(
             voter,
             messages.AppendRequest(
@@ -227,7 +229,7 @@
     ) -> None:
         """Handles an acknowledgement or a mismatch of the logs."""
         progress = self.progress_of(source)
-        progress.heard_s = self._state.now_s
+        progress.last_contact_s = self._state.now_s
         if reply.success:
             progress.probing = False
             progress.match_index = max(progress.match_index, reply.index)
@@ -246,7 +248,7 @@
     ) -> None:
         """Sends the next chunk of a snapshot, or continues with entries."""
         progress = self.progress_of(source)
-        progress.heard_s = self._state.now_s
+        progress.last_contact_s = self._state.now_s
         if reply.done:
             progress.snapshot = None
             progress.probing = False
@@ -294,7 +296,7 @@
             if not learner.automatic:
                 continue
             is_ready = self._is_ready(learner)
-            old_identities = membership.others_named_as(learner)
+            old_identities = membership.other_identities(learner)
             obsolete = [
                 m
                 for m in old_identities
@@ -317,35 +319,44 @@
         dead voter of four, the loss of one link ends the leadership.
         """
         voters = self._state.log.membership.voters
-        alive = set(self.alive())
+        reachable = set(self.reachable_members())
         for position, voter in enumerate(voters):
             name = membership_module.name_of(voter.id)
             for newer in voters[position + 1 :]:
                 is_same = membership_module.name_of(newer.id) == name
-                if is_same and newer.id in alive and voter.id not in alive:
+                if (
+                    is_same
+                    and newer.id in reachable
+                    and voter.id not in reachable
+                ):
                     return voter
         return None
 
     def _removable_member(self) -> membership_module.Member | None:
         """Returns the longest silent member above the wanted number."""
         state = self._state
-        membership, tending = state.log.membership, state.tending
-        if not tending.wanted_voters:
+        membership, membership_policy = (
+            state.log.membership,
+            state.membership_policy,
+        )
+        if not membership_policy.wanted_voters:
             return None
-        spare = len(membership.voters) > tending.wanted_voters
+        spare = len(membership.voters) > membership_policy.wanted_voters
         candidates = membership.learners + (membership.voters if spare else ())
         by_contact = [
-            (self.progress_of(member.id).heard_s, member)
+            (self.progress_of(member.id).last_contact_s, member)
             for member in candidates
             if member.id != state.me.id
         ]
-        heard_s, member = min(by_contact, default=(state.now_s, None))
-        if state.now_s - heard_s < tending.gone_after_s:
+        last_contact_s, member = min(by_contact, default=(state.now_s, None))
+        if state.now_s - last_contact_s < membership_policy.remove_after_s:
             return None
         return member
 
     def _is_ready(self, learner: membership_module.Member) -> bool:
-        return learner.id in self.alive() and self.has_synced(learner)
+        return learner.id in self.reachable_members() and self.has_synced(
+            learner
+        )
 
     def has_synced(self, learner: membership_module.Member) -> bool:
         """Whether a learner has synced nearly all entries."""
--- a/cardamombarrow/log/membership.py
+++ b/cardamombarrow/log/membership.py
@@ -111,7 +111,7 @@
                 return member
         return None
 
-    def others_named_as(self, member: Member) -> list[Member]:
+    def other_identities(self, member: Member) -> list[Member]:
         """Returns the other identities of a member's instance."""
         name = name_of(member.id)
         return [
--- a/cardamombarrow/log/proposals.py
+++ b/cardamombarrow/log/proposals.py
@@ -49,7 +49,7 @@
         self._pending[number] = _Pending(proposal)
         return number
 
-    def forget(self, number: messages.ProposalId) -> None:
+    def stop_resending(self, number: messages.ProposalId) -> None:
         """Stops sending a proposal that is committed or abandoned."""
         self._pending.pop(number, None)
 
@@ -124,7 +124,7 @@
         Raises:
             ValueError: No majority of its voters is alive.
         """
-        if not after.is_majority(self._leading.alive()):
+        if not after.is_majority(self._leading.reachable_members()):
             raise ValueError("it would leave no majority of live voters")
 
     def change(self, change: membership_module.Change) -> None:
--- a/cardamombarrow/log/runner.py
+++ b/cardamombarrow/log/runner.py
@@ -18,9 +18,9 @@
 from cardamombarrow.log import state as state_module
 from cardamombarrow.log import storage as storage_module
 
-__all__ = ["OnRefused", "Runner"]
+__all__ = ["OnWriteError", "Runner"]
 
-OnRefused = abc.Callable[[OSError], None]
+OnWriteError = abc.Callable[[OSError], None]
 
 
 def _raise(error: OSError) -> None:
@@ -49,7 +49,7 @@
         sync: abc.Callable[[int], None],
         timing: state_module.Timing | None = None,
         keep_entries: int = core_module.KEEP_ENTRIES,
-        tending: state_module.Tending | None = None,
+        membership_policy: state_module.MembershipPolicy | None = None,
     ):
         """Opens a folder; `me.id` is the name without the random part.
 
@@ -67,7 +67,7 @@
             contacts,
             is_founder,
             keep_entries,
-            tending,
+            membership_policy,
         )
         self.replica = replica_module.Replica(machine)
         snapshot = durable.entries.snapshot
@@ -79,38 +79,40 @@
         self.replica.restore(data.read(0, data.size_bytes))
 
     def persist(
-        self, now_s: float, on_refused: OnRefused = _raise
+        self, now_s: float, on_write_error: OnWriteError = _raise
     ) -> messages.Output:
         """Syncs the core's pending writes.
 
         Args:
             now_s: The current time.
-            on_refused: Called when a write fails; returns when the write is to
-                be tried again, or raises.
+            on_write_error: Called when a write fails; returns when the write
+                is to be tried again, or raises.
 
         Returns:
             The core's output, whose envelopes and committed entries may now
             be sent and applied.
         """
-        output = self.core.take(now_s)
+        output = self.core.take_output(now_s)
         for batch in storage_module.batches(output.writes):
-            self._save(batch, on_refused)
+            self._save(batch, on_write_error)
         if output.committed:
             # Needed only for a start without peers, so a failed write is
             # not an error.
             with contextlib.suppress(OSError):
                 self.storage.save_commit(output.committed[-1].index)
         if any(isinstance(w, messages.SnapshotWrite) for w in output.writes):
-            self.core.stored(self.storage.snapshot())
+            self.core.use_stored_snapshot(self.storage.snapshot())
         return output
 
-    def _save(self, batch: storage_module.Batch, on_refused: OnRefused) -> None:
+    def _save(
+        self, batch: storage_module.Batch, on_write_error: OnWriteError
+    ) -> None:
         while True:
             try:
                 self.storage.save(batch)
                 return
             except OSError as error:
-                on_refused(error)
+                on_write_error(error)
 
     def apply(
         self, output: messages.Output
--- a/cardamombarrow/log/state.py
+++ b/cardamombarrow/log/state.py
@@ -8,7 +8,7 @@
 from cardamombarrow.log import membership
 from cardamombarrow.log import messages
 
-__all__ = ["CoreState", "Durable", "Role", "Tending", "Timing"]
+__all__ = ["CoreState", "DurableState", "MembershipPolicy", "Role", "Timing"]
 
 
 class Role(enum.Enum):
@@ -33,38 +33,38 @@
             round trips between regions (30 ms one way) plus a slow sync.
         election_max_s: Maximum election timeout. Each timeout is drawn at
             random, so that two followers rarely become candidates at once.
-        start_election_s: Time from the start to the first election of the
+        start_delay_s: Time from the start to the first election of the
             voter that sorts first by identity; the other voters start to
             listen in the meantime.
-        start_step_s: Added for each further voter in that order. Longer than
+        start_stagger_s: Added for each further voter in that order. Longer than
             an election takes with 30 ms one way, so that voters that start
             together don't split the vote.
-        first_election_min_s: Minimum time after which a candidate without a
+        candidate_retry_min_s: Minimum time after which a candidate without a
             majority starts its next election.
-        first_election_max_s: Maximum of that time.
+        candidate_retry_max_s: Maximum of that time.
         relay_after_s: Time without messages on a direct link after which
             messages are also relayed by a third voter. Well below
             `election_min_s`, so that the loss of one link does not lead to an
             election.
         retry_s: Time after which an uncommitted proposal is sent again.
-        join_s: Interval of the join requests of a process that is not a
-            member.
+        join_interval_s: Interval of the join requests of a process that is
+            not a member.
     """
 
     heartbeat_s: float = 0.4
     election_min_s: float = 1.2
     election_max_s: float = 2.2
-    start_election_s: float = 0.1
-    start_step_s: float = 0.25
-    first_election_min_s: float = 0.2
-    first_election_max_s: float = 0.8
+    start_delay_s: float = 0.1
+    start_stagger_s: float = 0.25
+    candidate_retry_min_s: float = 0.2
+    candidate_retry_max_s: float = 0.8
     relay_after_s: float = 0.9
     retry_s: float = 1.0
-    join_s: float = 0.5
+    join_interval_s: float = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
-class Tending:
+class MembershipPolicy:
     """How the leader changes the membership without an operator.
 
     The replacement of a lost process may have another address and name, so
@@ -76,8 +76,8 @@
     Attributes:
         wanted_voters: Number of voters at or below which none is removed,
             however long it is silent; 0 leaves all changes to operators.
-        most_members: Maximum number of members.
-        gone_after_s: Silence after which a voter above the wanted number is
+        max_members: Maximum number of members.
+        remove_after_s: Silence after which a voter above the wanted number is
             removed. Longer than an election, and shorter than the time in
             which the next loss may follow.
         rejoin_after_s: Time without a leader after which a member requests to
@@ -85,13 +85,13 @@
     """
 
     wanted_voters: int = 0
-    most_members: int = 7
-    gone_after_s: float = 2.5
+    max_members: int = 7
+    remove_after_s: float = 2.5
     rejoin_after_s: float = 3.0
 
 
 @dataclasses.dataclass
-class Durable:
+class DurableState:
     """State that storage restores after a restart."""
 
     term: int = 0
@@ -108,15 +108,15 @@
     def __init__(
         self,
         me: membership.Member,
-        durable: Durable,
+        durable: DurableState,
         timing: Timing,
         rng: random.Random,
         now_s: float,
-        tending: Tending | None = None,
+        membership_policy: MembershipPolicy | None = None,
     ):
         self.me = me
         self.timing = timing
-        self.tending = tending or Tending()
+        self.membership_policy = membership_policy or MembershipPolicy()
         self.rng = rng
         self.now_s = now_s
         self.term = durable.term
@@ -125,7 +125,7 @@
         self.commit_index = max(self.log.snapshot.index, durable.commit_index)
         self.role = Role.FOLLOWER
         self.leader = membership.NOBODY
-        self.leader_heard_s = float("-inf")
+        self.leader_contact_s = float("-inf")
         self.redundant = False
         self.output = messages.Output()
         self._direct_s: dict[membership.VoterId, float] = {}
@@ -166,10 +166,10 @@
         timing = self.timing
         voters = sorted(self.log.membership.voter_ids)
         position = voters.index(self.me.id) if self.is_voter else len(voters)
-        delay_s = position * timing.start_step_s
-        self.election_due_s = self.now_s + timing.start_election_s + delay_s
+        delay_s = position * timing.start_stagger_s
+        self.election_due_s = self.now_s + timing.start_delay_s + delay_s
 
-    def set_candidate_timer(self, lost: int) -> None:
+    def set_candidate_timer(self, lost_rounds: int) -> None:
         """Draws when a candidate without a majority starts a new election.
 
         Two candidates may split the vote, and then there is no leader until
@@ -180,12 +180,16 @@
         because slow disks and links need longer rounds.
 
         Args:
-            lost: Consecutive rounds that this candidate has lost.
+            lost_rounds: Consecutive rounds that this candidate has lost.
         """
         timing = self.timing
-        factor = 2.0**lost
-        min_s = min(factor * timing.first_election_min_s, timing.election_min_s)
-        max_s = min(factor * timing.first_election_max_s, timing.election_max_s)
+        factor = 2.0**lost_rounds
+        min_s = min(
+            factor * timing.candidate_retry_min_s, timing.election_min_s
+        )
+        max_s = min(
+            factor * timing.candidate_retry_max_s, timing.election_max_s
+        )
         self.election_due_s = self.now_s + self.rng.uniform(min_s, max_s)
 
     def set_term(self, term: int, vote: membership.VoterId) -> None:
@@ -203,7 +207,7 @@
         self.role = Role.FOLLOWER
         self.leader = leader
 
-    def follows_live_leader(self) -> bool:
+    def has_live_leader(self) -> bool:
         """Whether there was contact with a leader in `election_min_s`.
 
         A member with a live leader grants no vote. Otherwise a voter that
@@ -212,10 +216,10 @@
         """
         if self.is_leader:
             return True
-        silent_s = self.now_s - self.leader_heard_s
+        silent_s = self.now_s - self.leader_contact_s
         return bool(self.leader) and silent_s < self.timing.election_min_s
 
-    def heard_from(self, envelope: messages.Envelope, via: str) -> None:
+    def record_route(self, envelope: messages.Envelope, via: str) -> None:
         """Records whether a message arrived directly or by a relay."""
         source = envelope.source
         if envelope.relayed:
@@ -268,7 +272,7 @@
         self._relay_count += 1
         return others[self._relay_count % len(others)]
 
-    def pass_on(self, envelope: messages.Envelope) -> None:
+    def relay(self, envelope: messages.Envelope) -> None:
         """Forwards a relayed message to its target."""
         self.output.envelopes.append(
             dataclasses.replace(envelope, hop=envelope.target)
--- a/cardamombarrow/log/storage.py
+++ b/cardamombarrow/log/storage.py
@@ -121,7 +121,7 @@
         self._rewritten_bytes = 0
 
     @property
-    def grown_bytes(self) -> int:
+    def bytes_since_rewrite(self) -> int:
         """Bytes appended to the log file since it was last rewritten."""
         return self._size_bytes - self._rewritten_bytes
 
@@ -140,7 +140,7 @@
             )
         return voter
 
-    def load(self) -> state_module.Durable:
+    def load(self) -> state_module.DurableState:
         """Reads the persisted state.
 
         Raises:
@@ -162,7 +162,9 @@
                 f"{path}: ends at entry {log.last_index}, but entry "
                 f"{commit_index} was committed here; {_RECOVERY_HINT}"
             )
-        return state_module.Durable(self._term, self._vote, log, commit_index)
+        return state_module.DurableState(
+            self._term, self._vote, log, commit_index
+        )
 
     def _load_commit(self) -> int:
         path = self._folder / "commit"
--- a/cardamombarrow/log/tests/simulation.py
+++ b/cardamombarrow/log/tests/simulation.py
@@ -27,7 +27,7 @@
 leading.CHUNK_LIMIT_BYTES = 200
 
 
-class Journal(base.StateMachine):
+class CommandRecorder(base.StateMachine):
     """Stores every command and answers with its position."""
 
     def __init__(self):
@@ -69,9 +69,9 @@
         known = self._digests.setdefault(index, digest)
         assert known == digest, "state machines disagree"
         assert len(set(node.machine.commands)) == len(node.machine.commands)
-        for command, place in self.answered.items():
-            if len(node.machine.commands) >= place:
-                assert node.machine.commands[place - 1] == command
+        for command, position in self.answered.items():
+            if len(node.machine.commands) >= position:
+                assert node.machine.commands[position - 1] == command
 
     @property
     def last_index(self) -> int:
@@ -86,13 +86,13 @@
         self.name = name
         self.folder = cluster.folder / name
         self.runner: runner.Runner | None = None
-        self.machine = Journal()
+        self.machine = CommandRecorder()
         self.proposed: dict[int, str] = {}
         self._synced: dict[int, int] = {}
 
     def start(self) -> None:
         cluster = self._cluster
-        self.machine = Journal()
+        self.machine = CommandRecorder()
         self.proposed = {}
         contacts = tuple(
             membership.Member(membership.VoterId(name), name)
@@ -110,9 +110,9 @@
             self._on_sync,
             TIMING,
             keep_entries=3,
-            tending=cluster.tending,
+            membership_policy=cluster.membership_policy,
         )
-        self.work()
+        self.process_output()
 
     def _on_sync(self, descriptor: int) -> None:
         status = os.fstat(descriptor)
@@ -139,18 +139,18 @@
             messages.EntryKind.COMMAND, command.encode()
         )
         self.proposed[number] = command
-        self.work()
+        self.process_output()
 
     def change(self, change: membership.Change) -> None:
         self.runner.core.propose(messages.EntryKind.CHANGE, change.encode())
-        self.work()
+        self.process_output()
 
-    def work(self, torn: bool = False) -> None:
+    def process_output(self, drop_output: bool = False) -> None:
         """Processes the core's output."""
         cluster = self._cluster
         output = self.runner.persist(cluster.now_s)
         cluster.oracle.check(self, output)
-        if torn:
+        if drop_output:
             return
         for envelope in output.envelopes:
             cluster.post(self.name, envelope)
@@ -163,7 +163,7 @@
     def snapshot(self) -> None:
         replica = self.runner.replica
         self.runner.core.compact(replica.applied_index, replica.snapshot())
-        self.work()
+        self.process_output()
 
 
 class Cluster:
@@ -174,16 +174,16 @@
         folder: pathlib.Path,
         names: list[str],
         seed: int,
-        tending: state_module.Tending | None = None,
+        membership_policy: state_module.MembershipPolicy | None = None,
     ):
-        self.tending = tending
+        self.membership_policy = membership_policy
         self.folder = folder
         self.founders = names
         self.rng = random.Random(seed)
         self.now_s = 0.0
         self.oracle = Oracle()
         self.cuts: set[tuple[str, str]] = set()
-        self.posted: list[tuple[str, str, messages.Envelope]] = []
+        self.in_transit: list[tuple[str, str, messages.Envelope]] = []
         self.nodes = {name: Node(self, name) for name in names}
         self._count = 0
         for node in self.nodes.values():
@@ -200,14 +200,14 @@
     def post(self, sender: str, envelope: messages.Envelope) -> None:
         receiver = envelope.address or membership.name_of(envelope.hop)
         if (sender, receiver) not in self.cuts and receiver in self.nodes:
-            self.posted.append((sender, receiver, envelope))
-
-    def deliver(self, place: int, keep: bool = False) -> None:
-        """Delivers one of the pending messages; `keep` duplicates it."""
-        place %= len(self.posted)
-        sender, receiver, envelope = self.posted[place]
-        if not keep:
-            del self.posted[place]
+            self.in_transit.append((sender, receiver, envelope))
+
+    def deliver(self, position: int, duplicate: bool = False) -> None:
+        """Delivers one of the pending messages; `duplicate` duplicates it."""
+        position %= len(self.in_transit)
+        sender, receiver, envelope = self.in_transit[position]
+        if not duplicate:
+            del self.in_transit[position]
         node = self.nodes[receiver]
         if node.runner and (sender, receiver) not in self.cuts:
             self._step(node, sender, envelope)
@@ -216,7 +216,7 @@
         sending = self.nodes[sender].runner
         via = sending.core.state.me.id if sending else sender
         node.runner.core.step(envelope, self.now_s, via)
-        node.work()
+        node.process_output()
 
     def tick(self, name: str) -> None:
         node = self.nodes[name]
@@ -224,7 +224,7 @@
             node.runner.core.tick(self.now_s)
             # Otherwise the log thread would spin.
             assert node.runner.core.next_wake_s() > self.now_s
-            node.work()
+            node.process_output()
 
     def run(self, duration_s: float) -> None:
         """Advances the time while the network delivers in order."""
@@ -233,7 +233,7 @@
             self.now_s += STEP_S
             for name in list(self.nodes):
                 self.tick(name)
-            for _ in range(len(self.posted)):
+            for _ in range(len(self.in_transit)):
                 self.deliver(0)
 
     def run_until(self, condition, limit_s: float = 30.0) -> bool:
--- a/cardamombarrow/log/tests/test_core.py
+++ b/cardamombarrow/log/tests/test_core.py
@@ -159,11 +159,11 @@
 
 def _deliver(cluster, wanted):
     """Delivers matching messages and their replies; drops all others."""
-    while cluster.posted:
-        if wanted(cluster.posted[0][2].message):
+    while cluster.in_transit:
+        if wanted(cluster.in_transit[0][2].message):
             cluster.deliver(0)
         else:
-            del cluster.posted[0]
+            del cluster.in_transit[0]
 
 
 def _elect(cluster, name):
@@ -171,7 +171,7 @@
     votes = (messages.VoteRequest, messages.VoteReply)
     for _ in range(3):
         # A refusal may carry a higher term, which it uses the next time.
-        cluster.posted.clear()
+        cluster.in_transit.clear()
         cluster.now_s += 2 * simulation.TIMING.election_max_s
         cluster.tick(name)
         _deliver(cluster, lambda message: isinstance(message, votes))
@@ -191,7 +191,7 @@
     for command in ("first-long-command", "second-long-command"):
         nodes[first].propose(command)
     old = nodes[first].runner.core.state.log.last_index - 1
-    cluster.posted.clear()
+    cluster.in_transit.clear()
     nodes[first].crash(kept_share=0.0)
     _elect(cluster, second)
     nodes[second].crash(kept_share=0.0)
--- a/cardamombarrow/log/tests/test_core_fuzz.py
+++ b/cardamombarrow/log/tests/test_core_fuzz.py
@@ -20,19 +20,22 @@
 
 _NAMES = strategies.sampled_from("ABC")
 _SHARES = strategies.sampled_from([0.0, 0.5, 1.0])
-_PLACES = strategies.integers(0, 40)
+_POSITIONS = strategies.integers(0, 40)
 
 
 class LogMachine(stateful.RuleBasedStateMachine):
     """Exposes a group of three to faults in random order."""
 
-    tending: state_module.Tending | None = None
+    membership_policy: state_module.MembershipPolicy | None = None
 
     @stateful.initialize(seed=strategies.integers(0, 1_000))
     def found(self, seed):
         self._folder = tempfile.TemporaryDirectory()
         self.cluster = simulation.Cluster(
-            pathlib.Path(self._folder.name), list("ABC"), seed, self.tending
+            pathlib.Path(self._folder.name),
+            list("ABC"),
+            seed,
+            self.membership_policy,
         )
         assert self.cluster.run_until(self._is_whole)
 
@@ -76,23 +79,23 @@
         self.cluster.now_s += simulation.STEP_S
         self.cluster.tick(name)
 
-    @stateful.precondition(lambda self: self.cluster.posted)
-    @stateful.rule(place=_PLACES, keep=strategies.booleans())
-    def deliver(self, place, keep):
-        self.cluster.deliver(place, keep)
+    @stateful.precondition(lambda self: self.cluster.in_transit)
+    @stateful.rule(position=_POSITIONS, duplicate=strategies.booleans())
+    def deliver(self, position, duplicate):
+        self.cluster.deliver(position, duplicate)
 
-    @stateful.precondition(lambda self: self.cluster.posted)
+    @stateful.precondition(lambda self: self.cluster.in_transit)
     @stateful.rule(name=_NAMES)
     def deliver_all_to(self, name):
         cluster = self.cluster
-        waiting = [p for p in cluster.posted if p[1] == name]
+        waiting = [p for p in cluster.in_transit if p[1] == name]
         for item in waiting:
-            cluster.deliver(cluster.posted.index(item))
+            cluster.deliver(cluster.in_transit.index(item))
 
-    @stateful.precondition(lambda self: self.cluster.posted)
-    @stateful.rule(place=_PLACES)
-    def drop(self, place):
-        del self.cluster.posted[place % len(self.cluster.posted)]
+    @stateful.precondition(lambda self: self.cluster.in_transit)
+    @stateful.rule(position=_POSITIONS)
+    def drop(self, position):
+        del self.cluster.in_transit[position % len(self.cluster.in_transit)]
 
     @stateful.rule(name=_NAMES, share=_SHARES)
     def crash(self, name, share):
@@ -116,7 +119,7 @@
         node = self._node(name)
         if node.runner:
             node.runner.core.tick(self.cluster.now_s)
-            node.work(torn=True)
+            node.process_output(drop_output=True)
             node.crash(0.5)
 
     @stateful.rule(name=_NAMES)
@@ -251,7 +254,7 @@
 class TendedLogMachine(LogMachine):
     """The same with automatic membership changes and no operator."""
 
-    tending = state_module.Tending(wanted_voters=3)
+    membership_policy = state_module.MembershipPolicy(wanted_voters=3)
 
     @stateful.rule(name=_NAMES, kind=strategies.just("add"))
     def change_membership(self, name, kind):
--- a/cardamombarrow/log/tests/test_driver.py
+++ b/cardamombarrow/log/tests/test_driver.py
@@ -24,18 +24,18 @@
 
 
 def _open(folder, machine, contacts=()):
-    place = driver.LogPlace(
+    config = driver.MemberConfig(
         folder,
         membership.Member(membership.VoterId("A"), "a:1"),
         contacts,
         is_founder=True,
     )
-    return driver.ReplicatedLog(place, machine, _NoPeers())
+    return driver.ReplicatedLog(config, machine, _NoPeers())
 
 
 @pytest.fixture
 def log(tmp_path):
-    made = _open(tmp_path / "A", simulation.Journal())
+    made = _open(tmp_path / "A", simulation.CommandRecorder())
     made.start()
     yield made
     made.stop()
@@ -60,12 +60,12 @@
 def test_state_is_restored_without_any_peer(tmp_path):
     # A control process restarts while its failure domain is isolated. It can't
     # reach a majority but must still show its last document.
-    log = _open(tmp_path / "A", simulation.Journal())
+    log = _open(tmp_path / "A", simulation.CommandRecorder())
     log.start()
     for i in range(20):
         log.propose(b"%d" % i).result(timeout=20)
     log.stop()
-    machine = simulation.Journal()
+    machine = simulation.CommandRecorder()
     again = _open(tmp_path / "A", machine)
     again.start()
     try:
@@ -80,7 +80,7 @@
     contacts = tuple(
         membership.Member(membership.VoterId(name), name) for name in "BC"
     )
-    log = _open(tmp_path / "A", simulation.Journal(), contacts)
+    log = _open(tmp_path / "A", simulation.CommandRecorder(), contacts)
     log.start()
     try:
         with pytest.raises(errors.UnavailableError) as raised:
@@ -110,7 +110,7 @@
     # restarted and ended again. It has to keep running, refuse proposals, and
     # continue with all acknowledged entries once there is space.
     disk = _Disk(monkeypatch)
-    log = _open(tmp_path / "A", simulation.Journal())
+    log = _open(tmp_path / "A", simulation.CommandRecorder())
     log.start()
     try:
         assert log.propose(b"before").result(timeout=20) == b"1"
@@ -124,7 +124,7 @@
         assert log.propose(b"after").result(timeout=20) == b"3"
     finally:
         log.stop()
-    again = _open(tmp_path / "A", simulation.Journal())
+    again = _open(tmp_path / "A", simulation.CommandRecorder())
     again.start()
     try:
         assert again.propose(b"again").result(timeout=20) == b"4"
@@ -134,7 +134,7 @@
 
 def test_process_can_stop_while_its_disk_is_full(tmp_path, monkeypatch):
     disk = _Disk(monkeypatch)
-    log = _open(tmp_path / "A", simulation.Journal())
+    log = _open(tmp_path / "A", simulation.CommandRecorder())
     log.start()
     disk.full = True
     log.propose(b"held up")
--- a/cardamombarrow/log/tests/test_tending.py
+++ b/cardamombarrow/log/tests/test_membership_policy.py
@@ -8,8 +8,8 @@
 
 @pytest.fixture
 def cluster(tmp_path):
-    tending = state_module.Tending(wanted_voters=3)
-    made = simulation.Cluster(tmp_path, ["A", "B", "C"], 7, tending)
+    membership_policy = state_module.MembershipPolicy(wanted_voters=3)
+    made = simulation.Cluster(tmp_path, ["A", "B", "C"], 7, membership_policy)
     assert made.run_until(lambda: _names(made) == {"A", "B", "C"})
     return made
 
@@ -69,8 +69,12 @@
 
 
 def test_no_more_members_are_added_than_allowed(tmp_path):
-    tending = state_module.Tending(wanted_voters=3, most_members=4)
-    cluster = simulation.Cluster(tmp_path, ["A", "B", "C"], 7, tending)
+    membership_policy = state_module.MembershipPolicy(
+        wanted_voters=3, max_members=4
+    )
+    cluster = simulation.Cluster(
+        tmp_path, ["A", "B", "C"], 7, membership_policy
+    )
     assert cluster.run_until(lambda: _names(cluster) == set("ABC"))
     for name in "DEF":
         cluster.add_node(name)
@@ -90,8 +94,8 @@
     # Two disks may be lost at once, and two of six voters are unreachable for
     # some time. If voters were removed down to three, the loss of two disks
     # right after would leave no majority, and accepted edits could not be read.
-    tending = state_module.Tending(wanted_voters=5)
-    cluster = simulation.Cluster(tmp_path, list("ABC"), 7, tending)
+    membership_policy = state_module.MembershipPolicy(wanted_voters=5)
+    cluster = simulation.Cluster(tmp_path, list("ABC"), 7, membership_policy)
     for name in "DEF":
         cluster.add_node(name)
     assert cluster.run_until(lambda: _names(cluster) == set("ABCDEF"))
--- a/cardamombarrow/log/waiters.py
+++ b/cardamombarrow/log/waiters.py
@@ -42,14 +42,14 @@
             entry.future.set_result(answer)
 
     def expire(
-        self, now_s: float, error: errors.RouterError, *, lost: bool = False
+        self, now_s: float, error: errors.RouterError, *, fail_all: bool = False
     ) -> list[messages.ProposalId]:
         """Fails the futures whose deadline has passed.
 
         Args:
             now_s: Monotonic time.
             error: The exception to set.
-            lost: Whether to fail all futures, because there is no quorum.
+            fail_all: Whether to fail all futures, because there is no quorum.
 
         Returns:
             The ids of their proposals.
@@ -60,7 +60,7 @@
             expired = {
                 number: entry
                 for number, entry in self._pending.items()
-                if lost or entry.deadline_s < now_s
+                if fail_all or entry.deadline_s < now_s
             }
             for number in expired:
                 del self._pending[number]
