--- a/cardamombarrow/ledger/__init__.py
+++ b/cardamombarrow/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""At-most-once claims for unrepeatable requests, on the replicated log."""
+"""At-most-once execution of unrepeatable requests by replicated claims."""
--- a/cardamombarrow/ledger/client.py
+++ b/cardamombarrow/ledger/client.py
@@ -1,4 +1,4 @@
-"""The entry's side of the ledger."""
+"""Client of the ledger, used by entries."""
 
 import abc
 from collections import abc as collections_abc
@@ -14,12 +14,13 @@
 __all__ = ["LedgerClient", "RemoteLedger", "ledger_key"]
 
 CLAIM_TIMEOUT_S = 3.0
-"""Longest wait for a claim; after it the request is refused, not run."""
+"""Timeout of a claim, after which the request is refused without a run."""
 
 SETTLE_TIMEOUT_S = 1.5
-"""Longest wait for one try to settle. The caller's last bytes wait for it."""
+"""Timeout of one attempt to settle, which delays the end of the answer."""
 
 REPLY_GRACE_S = 0.5
+"""Time to wait for the reply after the timeout of the command."""
 
 Propose = collections_abc.Callable[
     [control_pb2.Command, float], futures.Future[control_pb2.Reply]
@@ -27,7 +28,7 @@
 
 
 def ledger_key(workspace: ids.WorkspaceId, idempotency_key: str) -> str:
-    """Returns the key of a claim; keys of two workspaces never meet."""
+    """Returns the key of a claim, unique across workspaces."""
     return f"{workspace}/{idempotency_key}"
 
 
@@ -39,26 +40,26 @@
         """Claims a key for one run.
 
         Raises:
-            errors.UnavailableError: No quorum; nothing may be sent. The claim
-                may still be committed later, so it must be settled as not
-                run.
+            errors.UnavailableError: No quorum; the request must not be sent.
+                The claim may still be committed later, so it must be settled
+                as not run.
         """
 
     @abc.abstractmethod
     def settle(self, key: str, outcome: machine.Claim) -> bool:
-        """Records how the claimed request ended.
+        """Records the outcome of the claimed request.
 
         Raises:
             errors.UnavailableError: No quorum; the claim stays open.
         """
 
     def record(self, key: str, outcome: machine.Claim) -> None:
-        """Settles now or, while there is no quorum, later."""
+        """Settles a claim now, or later if there is no quorum."""
         self.settle(key, outcome)
 
 
 class RemoteLedger(LedgerClient):
-    """The ledger on the control processes."""
+    """Client of the ledger on the control processes."""
 
     def __init__(self, propose: Propose):
         self._propose = propose
@@ -70,7 +71,7 @@
                 key=key, claim=codec.claim_to_wire(claim)
             )
         )
-        reply = self._ask(command, CLAIM_TIMEOUT_S)
+        reply = self._send(command, CLAIM_TIMEOUT_S)
         return codec.verdict_from_wire(reply.claim)
 
     def settle(self, key: str, outcome: machine.Claim) -> bool:
@@ -82,9 +83,9 @@
                 outcome=codec.claim_to_wire(outcome),
             )
         )
-        return self._ask(command, SETTLE_TIMEOUT_S).settle.settled
+        return self._send(command, SETTLE_TIMEOUT_S).settle.settled
 
-    def _ask(
+    def _send(
         self, command: control_pb2.Command, timeout_s: float
     ) -> control_pb2.Reply:
         deadline_s = time.monotonic() + timeout_s + REPLY_GRACE_S
@@ -94,6 +95,7 @@
         except futures.TimeoutError:
             future.cancel()
             raise errors.UnavailableError(
-                errors.ErrorKind.NO_QUORUM, "no control answered in time"
+                errors.ErrorKind.NO_QUORUM,
+                "no control process answered in time",
             ) from None
         return codec.raise_failure(reply)
--- a/cardamombarrow/ledger/machine.py
+++ b/cardamombarrow/ledger/machine.py
@@ -1,11 +1,11 @@
-"""The ledger as a state machine: a key is claimed once, and never again.
+"""The ledger as a state machine: each key is claimed for one run at most.
 
-An unrepeatable request is claimed before any byte of it is sent. Whoever
-sends the same key later finds the claim: it is answered from it or told that
-the outcome is unknown. There is no second run.
+An unrepeatable request is claimed before any byte of it is sent. A later
+request with the same key finds the claim and gets the stored answer, or an
+error if the outcome is unknown; it is not run again.
 
-The state machine has no clock. Where time matters it compares times that the
-commands carry, so that every voter decides the same.
+The state machine uses no clock. It compares the timestamps of the commands, so
+that all voters make the same decisions.
 """
 
 import base64
@@ -30,28 +30,29 @@
 ]
 
 CLAIMS_KEPT = 50_000
-"""Most claims remembered. A key that finds no room is refused, not run: to
-forget another key early would allow that one a second run."""
+"""Maximum number of claims. When it is reached, requests with a new key are
+refused: dropping another claim early would allow a second run of its key."""
 
 KEPT_S = 86_400.0
-"""A claim is remembered for at least this long after it was made. A resend
-after that may run again; docs/ledger.md tells callers so."""
+"""Minimum retention of a claim. A request that is resent later may run again;
+docs/ledger.md documents this for callers."""
 
 LATE_S = 180.0
-"""A claim that comes in this long behind the newest one is withdrawn: its
-entry gave up waiting after seconds. Instances' clocks agree within 60 s with
-the control processes', or they are refused, so two differ by 120 s at most."""
+"""A claim that is older than the newest one by more than this is withdrawn,
+since its entry has stopped waiting for it. The clocks of two instances
+differ by 120 s at most, because instances whose clocks differ by more than
+60 s from those of the control processes are refused."""
 
 ANSWERS_KEPT_BYTES = 16_000_000
-"""Most bytes of stored answers; beyond it the oldest answers are dropped, but
-not their claims."""
+"""Maximum total size of stored answers. Beyond it the oldest answers are
+dropped, but not their claims."""
 
-WITHDRAWN_KEPT = 8
-"""Attempts on one key remembered as given up before their claim came in."""
+MAX_WITHDRAWN_PER_KEY = 8
+"""Maximum number of withdrawn attempts recorded per key."""
 
 
 class ClaimState(enum.Enum):
-    """Where the claimed request stands."""
+    """States of a claimed request."""
 
     CLAIMED = "claimed"
     ANSWERED = "answered"
@@ -60,7 +61,7 @@
 
 
 class VerdictKind(enum.Enum):
-    """What the claimant may do."""
+    """Kinds of answers to a claim."""
 
     RUN = "run"
     ANSWERED = "answered"
@@ -77,15 +78,15 @@
 
     Attributes:
         body_sha256: Digest of the request; the same key with another body
-            is an error of the caller.
-        instance: The entry that may run it.
+            is a caller's error.
+        instance: The entry that may run the request.
         attempt: Id of the request that made the claim.
         at_unix_s: Wall clock of the entry when it made the claim.
-        deadline_unix_s: When the entry will have settled it at the latest;
-            after that its outcome is unknown.
-        status: HTTP status of the stored answer; 0 where none is stored.
-        answer: The stored answer, bounded by the entry.
-        withdrawn: Other attempts that were given up without a run.
+        deadline_unix_s: Latest time at which the entry settles the claim;
+            after it the outcome counts as unknown.
+        status: HTTP status of the stored answer; 0 if none is stored.
+        answer: The stored answer; the entry limits its size.
+        withdrawn: Ids of other attempts that ended without a run.
     """
 
     body_sha256: str
@@ -138,25 +139,25 @@
         self._newest_unix_s = 0.0
 
     def claim(self, key: str, claim: Claim) -> Verdict:
-        """Claims a key for one run, or tells what became of it."""
+        """Claims a key for one run, or returns the state of its claim."""
         self._newest_unix_s = max(self._newest_unix_s, claim.at_unix_s)
         if claim.at_unix_s < self._newest_unix_s - LATE_S:
-            # Its key may have been claimed, run and forgotten while it was
-            # under way.
+            # The claim of an earlier run of its key may have expired in the
+            # meantime.
             return Verdict(VerdictKind.WITHDRAWN)
-        self._forget()
+        self._drop_expired()
         known = self._claims.get(key)
         if known is None:
-            return self._open(key, claim)
+            return self._add_claim(key, claim)
         if known.body_sha256 != claim.body_sha256:
             return Verdict(VerdictKind.REUSED)
         if claim.attempt in known.withdrawn:
             return Verdict(VerdictKind.WITHDRAWN)
         if known.state is ClaimState.NOT_RUN:
             return self._claim_again(key, known, claim)
-        return _verdict_on(known, claim)
+        return _verdict_for_known(known, claim)
 
-    def _open(self, key: str, claim: Claim) -> Verdict:
+    def _add_claim(self, key: str, claim: Claim) -> Verdict:
         if len(self._claims) >= CLAIMS_KEPT:
             return Verdict(VerdictKind.FULL)
         self._claims[key] = claim
@@ -164,10 +165,10 @@
 
     def _claim_again(self, key: str, known: Claim, claim: Claim) -> Verdict:
         if known.attempt == claim.attempt:
-            # The claim comes late, or twice: its entry has given it up, told
-            # the caller that nothing ran, and will not run it.
+            # The claim is late or a duplicate: its entry has already reported
+            # to the caller that nothing ran, and will not run it.
             return Verdict(VerdictKind.WITHDRAWN)
-        withdrawn = (*known.withdrawn, known.attempt)[-WITHDRAWN_KEPT:]
+        withdrawn = (*known.withdrawn, known.attempt)[-MAX_WITHDRAWN_PER_KEY:]
         del self._claims[key]
         self._claims[key] = dataclasses.replace(claim, withdrawn=withdrawn)
         return Verdict(VerdictKind.RUN)
@@ -192,16 +193,16 @@
             known.status = outcome.status
             known.content_type = outcome.content_type
             known.answer = outcome.answer
-            self._keep_answer(key, len(outcome.answer))
+            self._store_answer(key, len(outcome.answer))
         return True
 
     def _settle_unclaimed(self, key: str, outcome: Claim) -> bool:
-        """Takes "not run" of an attempt whose claim may still come.
+        """Records "not run" for an attempt whose claim may follow later.
 
-        An entry that got no answer to its claim tells the caller that nothing
-        ran. Its claim can be committed after that; without this record it
-        would stand open, and the caller's resend would be told that a request
-        is under way which nobody runs.
+        An entry without an answer to its claim reports to the caller that
+        nothing ran, but the claim may still be committed later. Without this
+        record the claim would remain open, and a resent request would be
+        refused as in flight although nothing runs.
         """
         if outcome.state is not ClaimState.NOT_RUN:
             return False
@@ -212,9 +213,9 @@
     def _withdraw(self, known: Claim, attempt: ids.RequestId) -> None:
         if attempt not in known.withdrawn:
             withdrawn = (*known.withdrawn, attempt)
-            known.withdrawn = withdrawn[-WITHDRAWN_KEPT:]
+            known.withdrawn = withdrawn[-MAX_WITHDRAWN_PER_KEY:]
 
-    def _keep_answer(self, key: str, size_bytes: int) -> None:
+    def _store_answer(self, key: str, size_bytes: int) -> None:
         if not size_bytes:
             return
         self._answered.append(key)
@@ -230,10 +231,10 @@
         claim.status = 0
 
     def abandon(self, instance: ids.InstanceId) -> int:
-        """Marks the open claims of a lost instance as of unknown outcome.
+        """Sets the outcome of a lost instance's open claims to unknown.
 
         Returns:
-            How many claims were marked.
+            The number of claims changed.
         """
         count = 0
         for claim in self._claims.values():
@@ -247,21 +248,21 @@
         return self._claims.get(key)
 
     def __len__(self) -> int:
-        """Counts the claims."""
+        """Returns the number of claims."""
         return len(self._claims)
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         oldest_unix_s = self._newest_unix_s - KEPT_S - LATE_S
-        for key in list(self._old_keys(oldest_unix_s)):
+        for key in list(self._expired_keys(oldest_unix_s)):
             claim = self._claims.pop(key)
             self._drop_answer(claim)
         while self._answered and self._answered[0] not in self._claims:
             self._answered.popleft()
 
-    def _old_keys(self, oldest_unix_s: float) -> abc.Iterator[str]:
+    def _expired_keys(self, oldest_unix_s: float) -> abc.Iterator[str]:
         for key, claim in self._claims.items():
-            last_unix_s = max(claim.at_unix_s, claim.deadline_unix_s)
-            if last_unix_s >= oldest_unix_s:
+            end_unix_s = max(claim.at_unix_s, claim.deadline_unix_s)
+            if end_unix_s >= oldest_unix_s:
                 return
             yield key
 
@@ -289,17 +290,17 @@
         return state
 
 
-def _verdict_on(known: Claim, claim: Claim) -> Verdict:
+def _verdict_for_known(known: Claim, claim: Claim) -> Verdict:
     if known.state is ClaimState.ANSWERED:
         return Verdict(VerdictKind.ANSWERED, known)
     if known.state is ClaimState.UNKNOWN:
         return Verdict(VerdictKind.UNKNOWN, known)
     if known.attempt == claim.attempt:
-        # The claim's answer was lost on its way and the same entry asks
-        # again for the same attempt: it has not sent anything yet.
+        # The reply to the claim was lost, and the entry has repeated the claim
+        # of the same attempt. It has not sent the request yet.
         return Verdict(VerdictKind.RUN)
     if claim.at_unix_s > known.deadline_unix_s:
-        # Its entry died or lost the quorum for good: it would have settled
-        # by now. The request may have run.
+        # Its entry would have settled the claim by now, so it crashed or lost
+        # the quorum for good. The request may have run.
         return Verdict(VerdictKind.UNKNOWN, known)
     return Verdict(VerdictKind.IN_FLIGHT, known)
--- a/cardamombarrow/ledger/settler.py
+++ b/cardamombarrow/ledger/settler.py
@@ -1,8 +1,8 @@
-"""Settles claims later, when there was no quorum to settle them at once.
+"""Retries settlements that failed because there was no quorum.
 
-A claim that is never settled keeps its key refused: first as under way, then
-as of unknown outcome, although the entry knows how the request ended. So the
-entry that holds it goes on trying for a while.
+Requests with the key of an unsettled claim are refused, first as in flight and
+later with an unknown outcome, although the entry knows the outcome. So the
+entry retries the settlement.
 """
 
 import collections
@@ -19,31 +19,32 @@
 __all__ = ["Settler"]
 
 RETRY_S = 1.0
-"""Time between two tries while there is no quorum."""
+"""Interval of retries while there is no quorum."""
 
 GIVE_UP_S = 3_600.0
-"""How long one settlement is tried: regions lose each other for an hour."""
+"""Time after which a settlement is dropped: partitions between regions may last
+an hour."""
 
-WAITING_LIMIT = 10_000
-"""Most settlements that wait; the oldest is given up beyond it."""
+MAX_PENDING = 10_000
+"""Maximum number of pending settlements; beyond it the oldest is dropped."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Waiting:
-    """A settlement that is still to be made."""
+class _PendingSettlement:
+    """A settlement that is to be retried."""
 
     key: str
     outcome: machine.Claim
-    since_s: float
+    queued_s: float
 
 
 class Settler(client.LedgerClient, lifecycle.Part):
-    """A ledger whose settlements are repeated until they are made."""
+    """A ledger client that retries settlements until they succeed."""
 
     def __init__(self, ledger: client.LedgerClient):
         self._ledger = ledger
-        self._waiting: collections.deque[_Waiting] = collections.deque(
-            maxlen=WAITING_LIMIT
+        self._pending: collections.deque[_PendingSettlement] = (
+            collections.deque(maxlen=MAX_PENDING)
         )
         self._stop = threading.Event()
         self._thread = threading.Thread(
@@ -55,9 +56,10 @@
         try:
             return self._ledger.claim(key, claim)
         except errors.UnavailableError:
-            # The claim may be committed once there is a quorum again. The
-            # caller is told that nothing ran, so the ledger must say so too.
-            self._later(
+            # The claim may still be committed once there is a quorum again.
+            # The caller gets the error that nothing ran, so the ledger must
+            # record the same.
+            self._retry_later(
                 key,
                 dataclasses.replace(claim, state=machine.ClaimState.NOT_RUN),
             )
@@ -68,43 +70,43 @@
         return self._ledger.settle(key, outcome)
 
     def record(self, key: str, outcome: machine.Claim) -> None:
-        """Settles now or, while there is no quorum, later."""
+        """Settles a claim now, or later if there is no quorum."""
         try:
             self._ledger.settle(key, outcome)
         except errors.UnavailableError as error:
             logs.event(
                 "claim not settled yet", "WARNING", key=key, detail=error.detail
             )
-            self._later(key, outcome)
+            self._retry_later(key, outcome)
 
-    def _later(self, key: str, outcome: machine.Claim) -> None:
-        self._waiting.append(_Waiting(key, outcome, time.monotonic()))
+    def _retry_later(self, key: str, outcome: machine.Claim) -> None:
+        self._pending.append(_PendingSettlement(key, outcome, time.monotonic()))
 
     def start(self) -> None:
-        """Starts repeating."""
+        """Starts retrying."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Tries each waiting settlement once more and ends."""
+        """Tries each pending settlement once more and stops."""
         self._stop.set()
         self._thread.join()
-        self._try_all()
-        for item in self._waiting:
+        self._retry_all()
+        for item in self._pending:
             logs.event("claim left unsettled", "ERROR", key=item.key)
 
     def _run(self) -> None:
         while not self._stop.wait(RETRY_S):
-            self._try_all()
+            self._retry_all()
 
-    def _try_all(self) -> None:
-        while self._waiting:
-            item = self._waiting[0]
+    def _retry_all(self) -> None:
+        while self._pending:
+            item = self._pending[0]
             try:
                 self._ledger.settle(item.key, item.outcome)
                 logs.event("claim settled later", key=item.key)
             except errors.UnavailableError:
-                if time.monotonic() - item.since_s < GIVE_UP_S:
+                if time.monotonic() - item.queued_s < GIVE_UP_S:
                     return
                 logs.event("claim left unsettled", "ERROR", key=item.key)
-            if self._waiting and self._waiting[0] is item:
-                self._waiting.popleft()
+            if self._pending and self._pending[0] is item:
+                self._pending.popleft()
--- a/cardamombarrow/ledger/tests/test_machine.py
+++ b/cardamombarrow/ledger/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Claims whose entry died, gave up, or found no room."""
+"""Claims of crashed entries, late claims, and a full ledger."""
 
 import dataclasses
 
@@ -27,16 +27,17 @@
     return dataclasses.replace(claim, state=_State.NOT_RUN)
 
 
-def test_a_claim_whose_entry_died_is_unknown_after_its_deadline():
-    # The entry is killed after the claim. Whether the call ran is not known;
-    # a resend must not run it, and must not be told for ever to come back.
+def test_claim_of_a_crashed_entry_is_unknown_after_its_deadline():
+    # The entry is killed after the claim, and it is unknown whether the request
+    # ran. A resent request must not run, and must not be refused as in flight
+    # forever.
     ledger = machine.LedgerState()
     assert ledger.claim("k", _claim()).kind is _Kind.RUN
     early = ledger.claim("k", _claim("second", 109.0))
     assert early.kind is _Kind.IN_FLIGHT
     late = ledger.claim("k", _claim("third", 111.0))
     assert late.kind is _Kind.UNKNOWN
-    # The entry was only frozen: what it knows still counts.
+    # The entry was only frozen and still settles the claim.
     answered = dataclasses.replace(
         _claim(), state=_State.ANSWERED, status=200, answer=b"done"
     )
@@ -46,10 +47,10 @@
     assert again.claim.answer == b"done"
 
 
-def test_a_claim_committed_after_it_was_given_up_does_not_hold_the_key():
-    # Without a quorum the caller is told that nothing ran. The claim is
-    # committed later all the same, after the entry's "not run". The caller's
-    # resend would be told that a request is under way that nobody runs.
+def test_claim_committed_after_not_run_does_not_block_the_key():
+    # Without a quorum the entry reports to the caller that nothing ran. The
+    # claim is committed later, after the entry's "not run". A resent request
+    # would be refused as in flight although nothing runs.
     ledger = machine.LedgerState()
     assert ledger.settle("k", "first", _not_run(_claim()))
     assert ledger.claim("k", _claim()).kind is _Kind.WITHDRAWN
@@ -60,9 +61,9 @@
     assert ledger.claim("k", _claim("third")).kind is _Kind.RUN
 
 
-def test_a_full_ledger_refuses_and_forgets_no_key_early(monkeypatch):
-    # More keys come than there is room for. Were the oldest forgotten to
-    # make room, a late resend of it would run a second time.
+def test_full_ledger_refuses_new_keys_and_drops_no_claim_early(monkeypatch):
+    # The ledger is full. If the oldest claim were dropped for a new key, a late
+    # resend of the old one would run a second time.
     monkeypatch.setattr(machine, "CLAIMS_KEPT", 2)
     ledger = machine.LedgerState()
     for key in "ab":
@@ -76,11 +77,11 @@
     assert ledger.claim("c", _claim("c", later_s)).kind is _Kind.RUN
 
 
-def test_a_claim_under_way_for_long_does_not_run_a_forgotten_key():
-    # A claim is held up on its way until its key, claimed and run by another
-    # attempt, is forgotten. It would find no trace and run a second time.
-    # Found by the machine in a longer run: send(b), commit, send(b), wait
-    # until b is forgotten, commit of another key, commit of the second.
+def test_delayed_claim_does_not_run_an_expired_key():
+    # A claim is delayed until the claim of an earlier run of the same key has
+    # expired, and the request would run a second time. Found by a longer run of
+    # the fuzzer: send(b), commit, send(b), wait until b has expired, commit of
+    # another key, commit of the second.
     ledger = machine.LedgerState()
     assert ledger.claim("b", _claim("first")).kind is _Kind.RUN
     later_s = 100.0 + machine.KEPT_S + machine.LATE_S + 11.0
@@ -90,7 +91,7 @@
 
 
 class _NoQuorum(client.LedgerClient):
-    """A ledger that can't be reached until it is told so."""
+    """A ledger that is unreachable until `reached` is set."""
 
     def __init__(self):
         self.reached = False
@@ -106,9 +107,10 @@
         return True
 
 
-def test_what_could_not_be_settled_is_settled_when_the_quorum_is_back():
-    # A claim fails for want of a quorum, and so does the settlement of a call
-    # that ran. Both keys would stay refused although the entry knows better.
+def test_failed_settlements_are_retried_when_the_quorum_is_back():
+    # A claim fails without a quorum, and so does the settlement of a request
+    # that ran. Both keys would remain refused although the entry knows the
+    # outcome.
     ledger = _NoQuorum()
     settler = settler_module.Settler(ledger)
     settler.start()
--- a/cardamombarrow/ledger/tests/test_machine_fuzz.py
+++ b/cardamombarrow/ledger/tests/test_machine_fuzz.py
@@ -1,4 +1,4 @@
-"""Entries that die, resend and give up, against a simple oracle."""
+"""Fuzzing of the ledger with crashes, resends and timeouts of entries."""
 
 import dataclasses
 import json
@@ -11,21 +11,21 @@
 from cardamombarrow.ledger import machine
 
 _KEYS = ("a", "b", "c", "d")
-_KEPT_S = 100.0
-_LATE_S = 20.0
-_CLAIMS_KEPT = 3
-_ANSWERS_KEPT_BYTES = 40
+_CLAIM_RETENTION_S = 100.0
+_MAX_CLAIM_AGE_S = 20.0
+_MAX_CLAIMS = 3
+_MAX_ANSWER_BYTES = 40
 _Kind = machine.VerdictKind
 _State = machine.ClaimState
 
 
 @dataclasses.dataclass
 class _Attempt:
-    """What one entry does for one request.
+    """One attempt of an entry to run a request.
 
     Attributes:
-        waiting: It awaits the verdict; nothing has been sent.
-        ran: The request reached an endpoint.
+        waiting: Whether the entry awaits the verdict and has sent nothing.
+        ran: Whether the request reached an endpoint.
     """
 
     key: str
@@ -36,10 +36,10 @@
 
 
 class LedgerMachine(stateful.RuleBasedStateMachine):
-    """The oracle counts the runs of each key and keeps their answers.
+    """Checks the ledger against a record of each key's runs and answers.
 
-    Commands are lost, delayed and delivered again at any later time; entries
-    give up waiting, and their clocks differ by some seconds.
+    Commands are lost, delayed and delivered again at any later time. Entries
+    time out, and their clocks differ by some seconds.
     """
 
     def __init__(self):
@@ -47,10 +47,10 @@
         self.patches = [
             mock.patch.object(machine, name, value)
             for name, value in (
-                ("KEPT_S", _KEPT_S),
-                ("LATE_S", _LATE_S),
-                ("CLAIMS_KEPT", _CLAIMS_KEPT),
-                ("ANSWERS_KEPT_BYTES", _ANSWERS_KEPT_BYTES),
+                ("KEPT_S", _CLAIM_RETENTION_S),
+                ("LATE_S", _MAX_CLAIM_AGE_S),
+                ("CLAIMS_KEPT", _MAX_CLAIMS),
+                ("ANSWERS_KEPT_BYTES", _MAX_ANSWER_BYTES),
             )
         ]
         for patch in self.patches:
@@ -81,13 +81,13 @@
         )
         self.attempts.append(_Attempt(key, claim))
 
-    def _pick(self, place):
-        return self.attempts[place % len(self.attempts)]
+    def _pick(self, position):
+        return self.attempts[position % len(self.attempts)]
 
     @stateful.precondition(lambda self: self.attempts)
-    @stateful.rule(place=st.integers(0, 1_000), lost=st.booleans())
-    def commit_claim(self, place, lost):
-        attempt = self._pick(place)
+    @stateful.rule(position=st.integers(0, 1_000), lost=st.booleans())
+    def commit_claim(self, position, lost):
+        attempt = self._pick(position)
         verdict = self.state.claim(
             attempt.key, dataclasses.replace(attempt.claim)
         )
@@ -102,15 +102,15 @@
     def _run(self, attempt):
         last_s = self.ran_at_s.get(attempt.key)
         if last_s is not None:
-            # A second run is allowed only after the documented time.
-            assert attempt.claim.at_unix_s - last_s > _KEPT_S
+            # A second run is allowed only after the documented retention.
+            assert attempt.claim.at_unix_s - last_s > _CLAIM_RETENTION_S
         attempt.ran = True
         self.ran_at_s[attempt.key] = attempt.claim.at_unix_s
 
     @stateful.precondition(lambda self: self.attempts)
-    @stateful.rule(place=st.integers(0, 1_000), answered=st.booleans())
-    def end_run(self, place, answered):
-        attempt = self._pick(place)
+    @stateful.rule(position=st.integers(0, 1_000), answered=st.booleans())
+    def end_run(self, position, answered):
+        attempt = self._pick(position)
         if not attempt.ran or attempt.outcome:
             return
         state = _State.ANSWERED if answered else _State.UNKNOWN
@@ -121,9 +121,9 @@
         self.answers[attempt.key] = answer
 
     @stateful.precondition(lambda self: self.attempts)
-    @stateful.rule(place=st.integers(0, 1_000))
-    def give_up(self, place):
-        attempt = self._pick(place)
+    @stateful.rule(position=st.integers(0, 1_000))
+    def give_up(self, position):
+        attempt = self._pick(position)
         if attempt.waiting:
             attempt.waiting = False
             attempt.outcome = dataclasses.replace(
@@ -131,9 +131,9 @@
             )
 
     @stateful.precondition(lambda self: self.attempts)
-    @stateful.rule(place=st.integers(0, 1_000))
-    def commit_settle(self, place):
-        attempt = self._pick(place)
+    @stateful.rule(position=st.integers(0, 1_000))
+    def commit_settle(self, position):
+        attempt = self._pick(position)
         if attempt.outcome is None:
             return
         before = self.state.lookup(attempt.key)
@@ -156,10 +156,10 @@
 
     @stateful.invariant()
     def size_is_bounded(self):
-        assert len(self.state) <= _CLAIMS_KEPT
-        held = [self.state.lookup(key) for key in _KEYS]
-        kept = sum(len(claim.answer) for claim in held if claim)
-        assert kept <= _ANSWERS_KEPT_BYTES
+        assert len(self.state) <= _MAX_CLAIMS
+        claims = [self.state.lookup(key) for key in _KEYS]
+        answer_bytes = sum(len(claim.answer) for claim in claims if claim)
+        assert answer_bytes <= _MAX_ANSWER_BYTES
 
 
 LedgerMachine.TestCase.settings = hypothesis.settings(
