--- a/cardamombarrow/entry/once.py
+++ b/cardamombarrow/entry/once.py
@@ -98,7 +98,7 @@
     except BaseException as error:
         if isinstance(error, errors.RouterError) and error.not_run:
             state = machine.ClaimState.NOT_RUN
-        ledger.record(key, dataclasses.replace(claim, state=state))
+        ledger.settle_or_retry(key, dataclasses.replace(claim, state=state))
         raise
     chunks = _recorded(relay, ledger, key, claim)
     return life.Relay(relay.head, chunks)
@@ -160,7 +160,7 @@
             outcome.answer = b"".join(kept.chunks)
     finally:
         relay.chunks.close()
-        ledger.record(key, outcome)
+        ledger.settle_or_retry(key, outcome)
     if held:
         yield held
 
--- a/cardamombarrow/ledger/client.py
+++ b/cardamombarrow/ledger/client.py
@@ -53,7 +53,7 @@
             errors.UnavailableError: No quorum; the claim stays open.
         """
 
-    def record(self, key: str, outcome: machine.Claim) -> None:
+    def settle_or_retry(self, key: str, outcome: machine.Claim) -> None:
         """Settles a claim now, or later if there is no quorum."""
         self.settle(key, outcome)
 
--- a/cardamombarrow/ledger/machine.py
+++ b/cardamombarrow/ledger/machine.py
@@ -18,10 +18,10 @@
 from cardamombarrow.kernel import ids
 
 __all__ = [
-    "ANSWERS_KEPT_BYTES",
-    "CLAIMS_KEPT",
-    "KEPT_S",
-    "LATE_S",
+    "CLAIM_RETENTION_S",
+    "MAX_ANSWER_BYTES",
+    "MAX_CLAIMS",
+    "MAX_CLAIM_AGE_S",
     "Claim",
     "ClaimState",
     "LedgerState",
@@ -29,21 +29,21 @@
     "VerdictKind",
 ]
 
-CLAIMS_KEPT = 50_000
+MAX_CLAIMS = 50_000
 """Maximum number of claims. When it is reached, requests with a new key are
 refused: dropping another claim early would allow a second run of its key."""
 
-KEPT_S = 86_400.0
+CLAIM_RETENTION_S = 86_400.0
 """Minimum retention of a claim. A request that is resent later may run again;
 docs/ledger.md documents this for callers."""
 
-LATE_S = 180.0
+MAX_CLAIM_AGE_S = 180.0
 """A claim that is older than the newest one by more than this is withdrawn,
 since its entry has stopped waiting for it. The clocks of two instances
 differ by 120 s at most, because instances whose clocks differ by more than
 60 s from those of the control processes are refused."""
 
-ANSWERS_KEPT_BYTES = 16_000_000
+MAX_ANSWER_BYTES = 16_000_000
 """Maximum total size of stored answers. Beyond it the oldest answers are
 dropped, but not their claims."""
 
@@ -141,7 +141,7 @@
     def claim(self, key: str, claim: Claim) -> Verdict:
         """Claims a key for one run, or returns the state of its claim."""
         self._newest_unix_s = max(self._newest_unix_s, claim.at_unix_s)
-        if claim.at_unix_s < self._newest_unix_s - LATE_S:
+        if claim.at_unix_s < self._newest_unix_s - MAX_CLAIM_AGE_S:
             # The claim of an earlier run of its key may have expired in the
             # meantime.
             return Verdict(VerdictKind.WITHDRAWN)
@@ -158,7 +158,7 @@
         return _verdict_for_known(known, claim)
 
     def _add_claim(self, key: str, claim: Claim) -> Verdict:
-        if len(self._claims) >= CLAIMS_KEPT:
+        if len(self._claims) >= MAX_CLAIMS:
             return Verdict(VerdictKind.FULL)
         self._claims[key] = claim
         return Verdict(VerdictKind.RUN)
@@ -206,7 +206,7 @@
         """
         if outcome.state is not ClaimState.NOT_RUN:
             return False
-        if len(self._claims) < CLAIMS_KEPT:
+        if len(self._claims) < MAX_CLAIMS:
             self._claims[key] = outcome
         return True
 
@@ -220,7 +220,7 @@
             return
         self._answered.append(key)
         self._answer_bytes += size_bytes
-        while self._answer_bytes > ANSWERS_KEPT_BYTES:
+        while self._answer_bytes > MAX_ANSWER_BYTES:
             oldest = self._claims.get(self._answered.popleft())
             if oldest is not None:
                 self._drop_answer(oldest)
@@ -252,7 +252,9 @@
         return len(self._claims)
 
     def _drop_expired(self) -> None:
-        oldest_unix_s = self._newest_unix_s - KEPT_S - LATE_S
+        oldest_unix_s = (
+            self._newest_unix_s - CLAIM_RETENTION_S - MAX_CLAIM_AGE_S
+        )
         for key in list(self._expired_keys(oldest_unix_s)):
             claim = self._claims.pop(key)
             self._drop_answer(claim)
--- a/cardamombarrow/ledger/settler.py
+++ b/cardamombarrow/ledger/settler.py
@@ -69,7 +69,7 @@
         """See `client.LedgerClient.settle`."""
         return self._ledger.settle(key, outcome)
 
-    def record(self, key: str, outcome: machine.Claim) -> None:
+    def settle_or_retry(self, key: str, outcome: machine.Claim) -> None:
         """Settles a claim now, or later if there is no quorum."""
         try:
             self._ledger.settle(key, outcome)
--- a/cardamombarrow/ledger/tests/test_machine.py
+++ b/cardamombarrow/ledger/tests/test_machine.py
@@ -64,7 +64,7 @@
 def test_full_ledger_refuses_new_keys_and_drops_no_claim_early(monkeypatch):
     # The ledger is full. If the oldest claim were dropped for a new key, a late
     # resend of the old one would run a second time.
-    monkeypatch.setattr(machine, "CLAIMS_KEPT", 2)
+    monkeypatch.setattr(machine, "MAX_CLAIMS", 2)
     ledger = machine.LedgerState()
     for key in "ab":
         ledger.claim(key, _claim(key))
@@ -73,7 +73,7 @@
         )
     assert ledger.claim("c", _claim("c")).kind is _Kind.FULL
     assert ledger.claim("a", _claim("again")).kind is _Kind.UNKNOWN
-    later_s = 100.0 + machine.KEPT_S + machine.LATE_S + 11.0
+    later_s = 100.0 + machine.CLAIM_RETENTION_S + machine.MAX_CLAIM_AGE_S + 11.0
     assert ledger.claim("c", _claim("c", later_s)).kind is _Kind.RUN
 
 
@@ -84,7 +84,7 @@
     # another key, commit of the second.
     ledger = machine.LedgerState()
     assert ledger.claim("b", _claim("first")).kind is _Kind.RUN
-    later_s = 100.0 + machine.KEPT_S + machine.LATE_S + 11.0
+    later_s = 100.0 + machine.CLAIM_RETENTION_S + machine.MAX_CLAIM_AGE_S + 11.0
     assert ledger.claim("a", _claim("other", later_s)).kind is _Kind.RUN
     assert ledger.lookup("b") is None
     assert ledger.claim("b", _claim("late")).kind is _Kind.WITHDRAWN
@@ -116,7 +116,7 @@
     settler.start()
     with pytest.raises(errors.UnavailableError):
         settler.claim("a", _claim("first"))
-    settler.record(
+    settler.settle_or_retry(
         "b", dataclasses.replace(_claim("second"), state=_State.ANSWERED)
     )
     ledger.reached = True
--- a/cardamombarrow/ledger/tests/test_machine_fuzz.py
+++ b/cardamombarrow/ledger/tests/test_machine_fuzz.py
@@ -47,10 +47,10 @@
         self.patches = [
             mock.patch.object(machine, name, value)
             for name, value in (
-                ("KEPT_S", _CLAIM_RETENTION_S),
-                ("LATE_S", _MAX_CLAIM_AGE_S),
-                ("CLAIMS_KEPT", _MAX_CLAIMS),
-                ("ANSWERS_KEPT_BYTES", _MAX_ANSWER_BYTES),
+                ("CLAIM_RETENTION_S", _CLAIM_RETENTION_S),
+                ("MAX_CLAIM_AGE_S", _MAX_CLAIM_AGE_S),
+                ("MAX_CLAIMS", _MAX_CLAIMS),
+                ("MAX_ANSWER_BYTES", _MAX_ANSWER_BYTES),
             )
         ]
         for patch in self.patches:
--- a/cardamombarrow/log/tests/test_core_fuzz.py
+++ b/cardamombarrow/log/tests/test_core_fuzz.py
@@ -251,7 +251,7 @@
         assert cluster.leader().runner.core.state.term == term
 
 
-class TendedLogMachine(LogMachine):
+class AutomaticMembershipMachine(LogMachine):
     """The same with automatic membership changes and no operator."""
 
     membership_policy = state_module.MembershipPolicy(wanted_voters=3)
@@ -273,8 +273,8 @@
     suppress_health_check=list(hypothesis.HealthCheck),
 )
 TestLog = LogMachine.TestCase
-TestTendedLog = TendedLogMachine.TestCase
-for _case in (TestLog, TestTendedLog):
+TestLogWithAutomaticMembership = AutomaticMembershipMachine.TestCase
+for _case in (TestLog, TestLogWithAutomaticMembership):
     _case.settings = _SETTINGS
     if _SEED is not None:
         _case.runTest = hypothesis.seed(int(_SEED))(_case.runTest)
