--- a/cardamombarrow/control/__init__.py
+++ b/cardamombarrow/control/__init__.py
@@ -1,1 +1,1 @@
-"""The `control` role: the state that must survive, and who serves it."""
+"""The `control` role: replicates and serves the persistent state."""
--- a/cardamombarrow/control/core.py
+++ b/cardamombarrow/control/core.py
@@ -1,4 +1,4 @@
-"""The control process: wiring of log, state, peers and administration."""
+"""The control process: connects log, state, peers and administration."""
 
 from concurrent import futures
 import contextlib
@@ -46,7 +46,7 @@
 
 __all__ = ["run"]
 
-FIRST_DOCUMENT_LOOK_S = 0.1
+FIRST_DOCUMENT_POLL_S = 0.1
 FIRST_DOCUMENT_TIMEOUT_S = 5.0
 
 METERING_TIMEOUT_S = 2.0
@@ -55,11 +55,11 @@
     "cardamombarrow.discovery.own_list",
     "cardamombarrow.duties.http_gateway",
 )
-"""Modules whose import registers the project's own list and calls."""
+"""Modules whose import registers the built-in discovery and duties plug-ins."""
 
 
 class _PublishingState(state_module.ControlState):
-    """Tells the followers of every accepted document."""
+    """Publishes every accepted document to the followers."""
 
     def __init__(self, loop: loop_module.LoopThread):
         super().__init__()
@@ -67,7 +67,7 @@
         self.service: control_service.ControlService | None = None
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Applies one command and publishes what it changed."""
+        """Applies one command and publishes the document if it changed."""
         before = self.document.revision
         answer = super().apply(index, command)
         if self.document.revision != before:
@@ -75,7 +75,7 @@
         return answer
 
     def restore(self, snapshot: bytes) -> None:
-        """Takes a snapshot and publishes its document."""
+        """Restores a snapshot and publishes its document."""
         super().restore(snapshot)
         self.publish()
 
@@ -88,7 +88,7 @@
 
 
 class _PeerServer(lifecycle.Part):
-    """Serves other instances."""
+    """Serves the other instances."""
 
     def __init__(
         self,
@@ -151,7 +151,7 @@
         self._server.close()
 
     def metering(self) -> duties_runner.MeteringView | None:
-        """Returns what entries have told of usage and demand."""
+        """Returns the usage and demand reported by entries."""
         service = self._state.service
         if service is None:
             return None
@@ -174,12 +174,12 @@
     def followers(
         self,
     ) -> dict[ids.InstanceId, followers_module.Follower]:
-        """The entries that follow this or another control process."""
+        """Entries that follow this or another control process."""
         service = self._state.service
         return service.followers.table() if service else {}
 
 
-class _LogPart(lifecycle.Part):
+class _LogLifecycle(lifecycle.Part):
     """Starts and stops the log with the process."""
 
     def __init__(self, log: base.Log):
@@ -195,7 +195,7 @@
 
 
 class _FirstDocument(lifecycle.Part):
-    """Hands in the first document, if this process comes to lead first."""
+    """Proposes the first document, if this process is the first leader."""
 
     def __init__(self, log: base.Log, state: _PublishingState, text: str):
         self._log = log
@@ -216,9 +216,9 @@
         self._thread.join(timeout=FIRST_DOCUMENT_TIMEOUT_S)
 
     def _run(self) -> None:
-        found = control_pb2.FoundCommand(text=self._text)
-        command = control_pb2.Command(found=found).SerializeToString()
-        while not self._stopped.wait(FIRST_DOCUMENT_LOOK_S):
+        message = control_pb2.FoundCommand(text=self._text)
+        command = control_pb2.Command(found=message).SerializeToString()
+        while not self._stopped.wait(FIRST_DOCUMENT_POLL_S):
             if self._state.document.revision:
                 return
             if self._log.status().role != "leader":
@@ -232,10 +232,12 @@
                     future.result(FIRST_DOCUMENT_TIMEOUT_S)
 
 
-def _place(settings: settings_module.ControlSettings) -> driver.MemberConfig:
-    """Returns where this process stands in the log."""
+def _member_config(
+    settings: settings_module.ControlSettings,
+) -> driver.MemberConfig:
+    """Returns the configuration of this process as a member of the log."""
     name = settings.instance.id
-    listed = _voters(settings)
+    listed = _listed_voters(settings)
     peers = settings.peers
     own = peers.address or f"{peers.host}:{peers.port}"
     return driver.MemberConfig(
@@ -251,7 +253,7 @@
     )
 
 
-def _voters(settings: settings_module.ControlSettings) -> dict[str, str]:
+def _listed_voters(settings: settings_module.ControlSettings) -> dict[str, str]:
     listed = {}
     for item in settings.state.voters:
         name, _, address = item.partition("=")
@@ -268,28 +270,28 @@
     state: _PublishingState,
     transport: driver.Transport,
 ) -> driver.ReplicatedLog:
-    """Opens the log; waits while the disk refuses.
+    """Opens the log; retries while the disk fails.
 
     Raises:
         errors.ConfigError: The data folder is damaged.
     """
-    place = _place(settings)
+    config = _member_config(settings)
     membership_policy = log_state.MembershipPolicy(
         wanted_voters=settings.state.wanted_voters()
     )
     while True:
         try:
             return driver.ReplicatedLog(
-                place, state, transport, membership_policy=membership_policy
+                config, state, transport, membership_policy=membership_policy
             )
         except storage.CorruptError as error:
             raise errors.ConfigError([str(error)]) from None
         except OSError as error:
-            logs.event("disk refuses at the start", "ERROR", detail=str(error))
+            logs.event("disk fails at start", "ERROR", detail=str(error))
             time.sleep(driver.WRITE_RETRY_S)
 
 
-def _orders_document(
+def _accepted_document(
     state: state_module.ControlState,
 ) -> schema.Document | None:
     accepted = state.document.accepted
@@ -307,8 +309,8 @@
     protocol = settings.operators.protocol
     if protocol == formats.SECTIONS:
         return admin_app.AdminApp(log, state, lambda: peers.followers)
-    cls = registry.lookup(editions.SLOT, protocol)
-    return cls(editions.Editions(log, state))
+    app_class = registry.lookup(editions.SLOT, protocol)
+    return app_class(editions.Editions(log, state))
 
 
 def _duties(
@@ -333,7 +335,7 @@
         duties_runner.Sources(
             metering=peers.metering,
             state=lambda: state.duties,
-            document=lambda: _orders_document(state),
+            document=lambda: _accepted_document(state),
             listing=lambda: source.fetch(duties.listing_url),
         ),
         clock.SystemClock(),
@@ -347,7 +349,7 @@
 
     Args:
         settings: Its settings.
-        path: The file they came from, to be looked at for changes.
+        path: The settings file, to be reloaded on changes.
 
     Raises:
         errors.ConfigError: The settings, the first document or the data
@@ -360,14 +362,14 @@
     state = _PublishingState(loop)
     log_service = log_transport.LogService()
     transport = log_transport.LogTransport(
-        loop, settings.peers.secret, log_service, _voters(settings)
+        loop, settings.peers.secret, log_service, _listed_voters(settings)
     )
     log = _open_log(settings, state, transport)
     peers = _PeerServer(loop, settings, log, log_service, state)
     web = http.HttpServer(
         settings.http, _operator_app(settings, log, state, peers)
     )
-    parts: list[lifecycle.Part] = [loop, peers, _LogPart(log)]
+    parts: list[lifecycle.Part] = [loop, peers, _LogLifecycle(log)]
     if settings.state.first_document:
         first_text = pathlib.Path(settings.state.first_document).read_text()
         parsing.parse(first_text)
@@ -376,7 +378,7 @@
         runner.OrdersRunner(
             ids.InstanceId(settings.instance.id),
             log,
-            lambda: _orders_document(state),
+            lambda: _accepted_document(state),
             clock.SystemClock(),
         )
     )
--- a/cardamombarrow/control/metrics.py
+++ b/cardamombarrow/control/metrics.py
@@ -1,7 +1,7 @@
-"""What a control process counts of itself, as Prometheus text.
+"""Metrics of a control process, as Prometheus text.
 
-``/duties`` gives as JSON who calls the platform, what usage was reported and,
-at the holder, which endpoints were ordered.
+``/duties`` returns as JSON which process calls the platform, the reported usage
+and, at that process, the ordered endpoints.
 """
 
 from collections import abc
@@ -21,7 +21,7 @@
 
 
 class MetricsApp:
-    """Serves the duties, and on all other paths the log; see PEP 3333."""
+    """WSGI application for the duties and, on all other paths, the metrics."""
 
     def __init__(
         self,
@@ -33,8 +33,8 @@
 
         Args:
             log: The log of this process.
-            state: What it has applied.
-            orders: Returns the orders of endpoints that this process gave.
+            state: The replicated state of this process.
+            orders: Returns the endpoints that this process has ordered.
         """
         self._log = log
         self._state = state
@@ -43,7 +43,7 @@
     def __call__(
         self, environ: dict[str, typing.Any], start_response: typing.Any
     ) -> abc.Iterable[bytes]:
-        """Serves one request."""
+        """Serves one request; see PEP 3333."""
         if environ.get("PATH_INFO") == DUTIES_PATH:
             body = json.dumps(self._duties())
             answer = wrappers.Response(body, content_type="application/json")
--- a/cardamombarrow/control/state.py
+++ b/cardamombarrow/control/state.py
@@ -1,4 +1,4 @@
-"""The replicated state of a control process: the document and the ledger."""
+"""The replicated state of the control processes."""
 
 import json
 
@@ -25,8 +25,9 @@
         document: The accepted document; its revision is 0 until the first
             one is committed.
         ledger: The claims of unrepeatable requests.
-        orders: Which control process gives orders to engines.
-        duties: Which one calls the platform for all, and what it reported.
+        orders: Which control process sends orders to engines.
+        duties: Which control process calls the platform, and its usage
+            reports.
     """
 
     def __init__(self):
@@ -40,8 +41,8 @@
         message = control_pb2.Command.FromString(command)
         kind = message.WhichOneof("kind")
         if kind is None:
-            # Proposed by a newer version during an upgrade. Failing here
-            # would stop every older voter at the same entry, for good.
+            # Proposed by a newer version during an upgrade. An exception here
+            # would stop all older voters at this entry permanently.
             return codec.failure_to_wire(
                 errors.UnavailableError(
                     errors.ErrorKind.INTERNAL, "a command of a newer version"
@@ -52,11 +53,11 @@
         ).SerializeToString()
 
     def _apply_found(self, wire: control_pb2.FoundCommand) -> control_pb2.Reply:
-        """Takes the first document.
+        """Sets the first document.
 
-        It comes from the log, not from each process's own file: files that
-        differ, or that an operator changes later, would make the state
-        machines differ.
+        It comes from the log and not from each process's own file: if the
+        files differ, or an operator changes one later, the state machines
+        would diverge.
         """
         founded = self.document.revision == NO_DOCUMENT
         if founded:
@@ -73,7 +74,7 @@
         try:
             edition = codec.edition_from_wire(wire)
         except ValueError as error:
-            # Raised further, it would stop every voter at the same entry.
+            # An exception would stop all voters at this entry.
             return codec.failure_to_wire(
                 errors.RefusedError(errors.ErrorKind.BAD_REQUEST, str(error))
             )
@@ -111,10 +112,10 @@
     def _apply_renew_orders(
         self, wire: control_pb2.RenewOrdersCommand
     ) -> control_pb2.Reply:
-        asked = orders_machine.Holder(
+        requested = orders_machine.Holder(
             ids.InstanceId(wire.instance), wire.fencing
         )
-        current = self.orders.renew(asked)
+        current = self.orders.renew(requested)
         return _orders_reply(self.orders.holder, current=current)
 
     def _apply_take_duties(
@@ -126,10 +127,10 @@
     def _apply_renew_duties(
         self, wire: control_pb2.RenewDutiesCommand
     ) -> control_pb2.Reply:
-        asked = orders_machine.Holder(
+        requested = orders_machine.Holder(
             ids.InstanceId(wire.instance), wire.fencing
         )
-        current = self.duties.renew(asked)
+        current = self.duties.renew(requested)
         return self._duties_reply(self.duties.holders.holder, current=current)
 
     def _duties_reply(
@@ -171,7 +172,7 @@
         )
 
     def snapshot(self) -> bytes:
-        """Returns document and ledger as packed JSON."""
+        """Returns the whole state as packed JSON."""
         text = json.dumps(
             {
                 "document": self.document.to_json(),
@@ -183,11 +184,11 @@
         return packing.pack(text)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replaces document and ledger by a snapshot, packed or not."""
+        """Replaces the whole state by a snapshot, packed or not."""
         plain = snapshot.startswith(b"{")
         raw = json.loads(
-            # A snapshot is this process's own, or a member's: a bound would
-            # keep one that has grown from ever being read again.
+            # The snapshot comes from this process or another member. With a
+            # size limit, one that has grown beyond it could not be restored.
             snapshot if plain else packing.unpack(snapshot, most_bytes=0)
         )
         self.document = document_machine.DocumentState.from_json(
@@ -195,7 +196,7 @@
         )
         self.ledger = ledger_machine.LedgerState.from_json(raw["ledger"])
         self.orders = orders_machine.OrdersState.from_json(raw["orders"])
-        # A snapshot of a version before duties has none.
+        # Snapshots of versions without duties lack this key.
         if "duties" in raw:
             self.duties = duties_machine.DutiesState.from_json(raw["duties"])
 
--- a/cardamombarrow/control/tests/test_settings.py
+++ b/cardamombarrow/control/tests/test_settings.py
@@ -14,6 +14,6 @@
         ({"tended": True, "tolerated_losses": 2}, 5),
     ],
 )
-def test_voters_are_wanted_by_the_losses_that_must_be_borne(fields, wanted):
+def test_wanted_voters_follow_from_the_tolerated_losses(fields, wanted):
     state = settings_module.StateSettings(folder="x", **fields)
     assert state.wanted_voters() == wanted
--- a/cardamombarrow/control/tests/test_state.py
+++ b/cardamombarrow/control/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The state that control processes replicate."""
+"""The replicated state of the control processes."""
 
 import json
 
@@ -14,41 +14,41 @@
     edition = control_pb2.EditionCommand(
         number=7, format=formats.SECTIONS, packed_text=packing.pack(text)
     )
-    made = state.ControlState()
-    made.apply(1, control_pb2.Command(edition=edition).SerializeToString())
-    assert made.document.accepted.number == 7
-    return made
+    original = state.ControlState()
+    original.apply(1, control_pb2.Command(edition=edition).SerializeToString())
+    assert original.document.accepted.number == 7
+    return original
 
 
-def test_a_state_of_any_size_is_restored(kandula_text, monkeypatch):
-    # The ledger keeps answers, so that a snapshot may grow far above what one
-    # edition may be. Written but refused when it is read, it would keep a
-    # control process from starting again, for good.
-    made = _state(kandula_text)
+def test_state_of_any_size_is_restored(kandula_text, monkeypatch):
+    # The ledger stores answers, so a snapshot may be much larger than the
+    # maximum size of an edition. If it could be written but not read, the
+    # control process could never start again.
+    original = _state(kandula_text)
     monkeypatch.setattr(packing, "MOST_BYTES", 100)
     restored = state.ControlState()
-    restored.restore(made.snapshot())
-    assert restored.document.accepted == made.document.accepted
+    restored.restore(original.snapshot())
+    assert restored.document.accepted == original.document.accepted
 
 
-def test_a_snapshot_that_is_not_packed_is_restored(kandula_text):
-    # A process of an earlier version has written it. An upgrade that can't
-    # read it loses every document that was accepted.
-    made = _state(kandula_text)
-    plain = packing.unpack(made.snapshot()).encode()
+def test_unpacked_snapshot_is_restored(kandula_text):
+    # Written by a process of an earlier version. If it can't be read after an
+    # upgrade, all accepted documents are lost.
+    original = _state(kandula_text)
+    plain = packing.unpack(original.snapshot()).encode()
     assert json.loads(plain)
     restored = state.ControlState()
     restored.restore(plain)
-    assert restored.document.accepted == made.document.accepted
+    assert restored.document.accepted == original.document.accepted
 
 
 @pytest.mark.parametrize("number", [1, 9])
-def test_an_edition_that_is_not_packed_is_applied(kandula_text, number):
-    # An entry of the log that an earlier version has written is applied again
-    # after a restart; refused, the document that it made is gone.
+def test_unpacked_edition_is_applied(kandula_text, number):
+    # A log entry written by an earlier version is applied again after a
+    # restart. If it were refused, its document would be lost.
     edition = control_pb2.EditionCommand(
         number=number, format=formats.SECTIONS, text=kandula_text
     )
-    made = state.ControlState()
-    made.apply(1, control_pb2.Command(edition=edition).SerializeToString())
-    assert made.document.accepted.text == kandula_text
+    original = state.ControlState()
+    original.apply(1, control_pb2.Command(edition=edition).SerializeToString())
+    assert original.document.accepted.text == kandula_text
