--- a/cardamombarrow/log/core.py
+++ b/cardamombarrow/log/core.py
@@ -122,7 +122,7 @@
         elif not state.has_live_leader():
             silent_s = state.now_s - state.leader_contact_s
             if silent_s >= state.timing.election_max_s:
-                state.leader = membership_module.NOBODY
+                state.leader = membership_module.NO_MEMBER
         if state.is_leader and self._leading.may_change():
             change = self._leading.next_change()
             if change is not None:
@@ -218,7 +218,7 @@
     def _is_stale(self, term: int) -> bool:
         state = self.state
         if term > state.term:
-            state.follow(term, membership_module.NOBODY)
+            state.follow(term, membership_module.NO_MEMBER)
         return term < state.term or not state.is_leader
 
     def _on_vote_reply(
--- a/cardamombarrow/log/election.py
+++ b/cardamombarrow/log/election.py
@@ -42,7 +42,7 @@
                 self._lost_rounds + 1 if state.role in _CANDIDATE_ROLES else 0
             )
         state.role = _ROLES[pre]
-        state.leader = membership.NOBODY
+        state.leader = membership.NO_MEMBER
         state.set_candidate_timer(self._lost_rounds)
         if not pre:
             state.set_term(state.term + 1, state.me.id)
@@ -74,7 +74,7 @@
             self._reply(source, request, granted=False)
             return
         if request.term > state.term and not request.pre:
-            state.follow(request.term, membership.NOBODY)
+            state.follow(request.term, membership.NO_MEMBER)
         granted = self._may_grant(source, request)
         if granted and not request.pre:
             state.set_term(request.term, source)
@@ -108,7 +108,7 @@
         state = self._state
         if not reply.granted:
             if reply.term > state.term:
-                state.follow(reply.term, membership.NOBODY)
+                state.follow(reply.term, membership.NO_MEMBER)
             return False
         expected = state.term + 1 if reply.pre else state.term
         if state.role is not _ROLES[reply.pre] or reply.term != expected:
--- a/cardamombarrow/log/joining.py
+++ b/cardamombarrow/log/joining.py
@@ -85,8 +85,8 @@
             state.output.envelopes.append(
                 messages.Envelope(
                     state.me.id,
-                    membership_module.NOBODY,
-                    membership_module.NOBODY,
+                    membership_module.NO_MEMBER,
+                    membership_module.NO_MEMBER,
                     False,
                     request,
                     contact.address,
@@ -104,7 +104,7 @@
             messages.EntryKind.MEMBERSHIP,
             data=membership_module.Membership(voters).encode(),
         )
-        state.set_term(max(1, state.term), membership_module.NOBODY)
+        state.set_term(max(1, state.term), membership_module.NO_MEMBER)
         state.log.append([entry])
         state.output.writes.append(messages.EntryWrite((entry,)))
         state.election_due_s = state.now_s
--- a/cardamombarrow/log/leading.py
+++ b/cardamombarrow/log/leading.py
@@ -105,7 +105,7 @@
         if removed or not state.log.membership.is_majority(
             self.reachable_members()
         ):
-            state.follow(state.term, membership_module.NOBODY)
+            state.follow(state.term, membership_module.NO_MEMBER)
             return
         state.redundant = self._is_redundant()
         if state.now_s < self._heartbeat_due_s:
--- a/cardamombarrow/log/membership.py
+++ b/cardamombarrow/log/membership.py
@@ -6,7 +6,7 @@
 import typing
 
 __all__ = [
-    "NOBODY",
+    "NO_MEMBER",
     "Change",
     "ChangeKind",
     "Member",
@@ -23,7 +23,7 @@
 """
 
 
-NOBODY = VoterId("")
+NO_MEMBER = VoterId("")
 """Stands for no member: no known leader, or no vote granted."""
 
 
--- a/cardamombarrow/log/state.py
+++ b/cardamombarrow/log/state.py
@@ -95,7 +95,7 @@
     """State that storage restores after a restart."""
 
     term: int = 0
-    vote: membership.VoterId = membership.NOBODY
+    vote: membership.VoterId = membership.NO_MEMBER
     entries: entries_module.Entries = dataclasses.field(
         default_factory=entries_module.Entries
     )
@@ -124,7 +124,7 @@
         self.log = durable.entries
         self.commit_index = max(self.log.snapshot.index, durable.commit_index)
         self.role = Role.FOLLOWER
-        self.leader = membership.NOBODY
+        self.leader = membership.NO_MEMBER
         self.leader_contact_s = float("-inf")
         self.redundant = False
         self.output = messages.Output()
@@ -201,7 +201,7 @@
     def follow(self, term: int, leader: membership.VoterId) -> None:
         """Becomes a follower of a known leader, or of none yet."""
         if term > self.term:
-            self.set_term(term, membership.NOBODY)
+            self.set_term(term, membership.NO_MEMBER)
         if self.role is not Role.FOLLOWER or self.leader != leader:
             self.reset_election_timer()
         self.role = Role.FOLLOWER
--- a/cardamombarrow/log/storage.py
+++ b/cardamombarrow/log/storage.py
@@ -114,7 +114,7 @@
         if not self.is_new and not (folder / "log").exists():
             raise CorruptError(f"{folder}: the log is gone; {_RECOVERY_HINT}")
         self.identity = self._load_identity(name)
-        self._term, self._vote = 0, membership_module.NOBODY
+        self._term, self._vote = 0, membership_module.NO_MEMBER
         self._file = None
         self._commit_file: int | None = None
         self._size_bytes = 0
--- a/cardamombarrow/log/tests/simulation.py
+++ b/cardamombarrow/log/tests/simulation.py
@@ -118,15 +118,15 @@
         status = os.fstat(descriptor)
         self._synced[status.st_ino] = status.st_size
 
-    def crash(self, kept_share: float) -> None:
+    def crash(self, persisted_share: float) -> None:
         """Simulates a power failure that loses a part of the unsynced data."""
         self.runner.storage.close()
         self.runner = None
         path = self.folder / "log"
         status = path.stat()
         synced = self._synced.get(status.st_ino, 0)
-        kept = synced + int((status.st_size - synced) * kept_share)
-        os.truncate(path, kept)
+        size_bytes = synced + int((status.st_size - synced) * persisted_share)
+        os.truncate(path, size_bytes)
 
     def lose_disk(self) -> None:
         if self.runner:
--- a/cardamombarrow/log/tests/test_core.py
+++ b/cardamombarrow/log/tests/test_core.py
@@ -9,9 +9,9 @@
 
 @pytest.fixture
 def cluster(tmp_path):
-    made = simulation.Cluster(tmp_path, ["A", "B", "C"], seed=7)
-    assert made.run_until(lambda: _is_redundant(made))
-    return made
+    cluster = simulation.Cluster(tmp_path, ["A", "B", "C"], seed=7)
+    assert cluster.run_until(lambda: _is_redundant(cluster))
+    return cluster
 
 
 def _is_redundant(cluster):
@@ -125,7 +125,7 @@
         name = "ABC"[turn % 3]
         if turn % 2:
             cluster.nodes[name].snapshot()
-        cluster.nodes[name].crash(kept_share=0.5)
+        cluster.nodes[name].crash(persisted_share=0.5)
         cluster.nodes[name].start()
     assert cluster.run_until(lambda: _is_redundant(cluster))
     assert cluster.answers("A")
@@ -147,7 +147,7 @@
         cluster.run(3)
     while cluster.leader().name != "D":
         name = cluster.leader().name
-        cluster.nodes[name].crash(kept_share=0.0)
+        cluster.nodes[name].crash(persisted_share=0.0)
         assert cluster.run_until(lambda: cluster.leader() is not None)
         cluster.nodes[name].start()
         cluster.run(3)
@@ -157,10 +157,10 @@
     assert cluster.answers("A")
 
 
-def _deliver(cluster, wanted):
+def _deliver(cluster, matches):
     """Delivers matching messages and their replies; drops all others."""
     while cluster.in_transit:
-        if wanted(cluster.in_transit[0][2].message):
+        if matches(cluster.in_transit[0][2].message):
             cluster.deliver(0)
         else:
             del cluster.in_transit[0]
@@ -192,9 +192,9 @@
         nodes[first].propose(command)
     old = nodes[first].runner.core.state.log.last_index - 1
     cluster.in_transit.clear()
-    nodes[first].crash(kept_share=0.0)
+    nodes[first].crash(persisted_share=0.0)
     _elect(cluster, second)
-    nodes[second].crash(kept_share=0.0)
+    nodes[second].crash(persisted_share=0.0)
     nodes[first].start()
     _elect(cluster, first)
     cluster.now_s += simulation.TIMING.heartbeat_s
@@ -206,7 +206,7 @@
         ),
     )
     assert nodes[third].runner.core.state.log.last_index == old
-    nodes[first].crash(kept_share=0.0)
+    nodes[first].crash(persisted_share=0.0)
     nodes[second].start()
     _elect(cluster, second)
     nodes[first].start()
@@ -305,15 +305,15 @@
 
 def _split_vote_duration(folder, seed):
     """Returns the time without a leader after a split vote of two."""
-    made = simulation.Cluster(folder, ["A", "B", "C"], seed=seed)
-    assert made.run_until(lambda: _is_redundant(made))
-    made.leader().crash(1.0)
-    made.run(simulation.TIMING.election_min_s)
-    for node in made.alive:
-        node.runner.core.state.election_due_s = made.now_s
-    start_s = made.now_s
-    assert made.run_until(lambda: made.leader() is not None)
-    return made.now_s - start_s
+    cluster = simulation.Cluster(folder, ["A", "B", "C"], seed=seed)
+    assert cluster.run_until(lambda: _is_redundant(cluster))
+    cluster.leader().crash(1.0)
+    cluster.run(simulation.TIMING.election_min_s)
+    for node in cluster.alive:
+        node.runner.core.state.election_due_s = cluster.now_s
+    start_s = cluster.now_s
+    assert cluster.run_until(lambda: cluster.leader() is not None)
+    return cluster.now_s - start_s
 
 
 def test_split_vote_is_resolved_soon(tmp_path):
@@ -331,16 +331,16 @@
 
 def _restart_duration(folder, seed, without=""):
     """Returns the time without a leader after a power failure of all."""
-    made = simulation.Cluster(folder, ["A", "B", "C"], seed=seed)
-    assert made.run_until(lambda: _is_redundant(made))
-    for node in made.alive:
+    cluster = simulation.Cluster(folder, ["A", "B", "C"], seed=seed)
+    assert cluster.run_until(lambda: _is_redundant(cluster))
+    for node in cluster.alive:
         node.crash(1.0)
     for name in "ABC":
         if name != without:
-            made.nodes[name].start()
-    start_time_s = made.now_s
-    assert made.run_until(lambda: made.leader() is not None)
-    return made.now_s - start_time_s
+            cluster.nodes[name].start()
+    start_time_s = cluster.now_s
+    assert cluster.run_until(lambda: cluster.leader() is not None)
+    return cluster.now_s - start_time_s
 
 
 @pytest.mark.parametrize(("without", "most_s"), [("", 0.3), ("A", 0.6)])
--- a/cardamombarrow/log/tests/test_driver.py
+++ b/cardamombarrow/log/tests/test_driver.py
@@ -35,10 +35,10 @@
 
 @pytest.fixture
 def log(tmp_path):
-    made = _open(tmp_path / "A", simulation.CommandRecorder())
-    made.start()
-    yield made
-    made.stop()
+    log = _open(tmp_path / "A", simulation.CommandRecorder())
+    log.start()
+    yield log
+    log.stop()
 
 
 def test_proposals_are_answered_in_order(log):
--- a/cardamombarrow/log/tests/test_membership_policy.py
+++ b/cardamombarrow/log/tests/test_membership_policy.py
@@ -9,9 +9,11 @@
 @pytest.fixture
 def cluster(tmp_path):
     membership_policy = state_module.MembershipPolicy(wanted_voters=3)
-    made = simulation.Cluster(tmp_path, ["A", "B", "C"], 7, membership_policy)
-    assert made.run_until(lambda: _names(made) == {"A", "B", "C"})
-    return made
+    cluster = simulation.Cluster(
+        tmp_path, ["A", "B", "C"], 7, membership_policy
+    )
+    assert cluster.run_until(lambda: _names(cluster) == {"A", "B", "C"})
+    return cluster
 
 
 def _names(cluster):
