--- a/cardamombarrow/log/core.py
+++ b/cardamombarrow/log/core.py
@@ -1,13 +1,13 @@
 """The replicated log as a pure state machine.
 
-Messages and the time go in; messages, writes and committed entries come out.
-There is no socket, file, thread or clock in it, so that it can be fuzzed. The
+Its inputs are messages and the time, its outputs messages, writes and committed
+entries. It uses no socket, file, thread or clock, so that it can be fuzzed. The
 protocol is Raft (Ongaro and Ousterhout 2014) with pre-vote, check-quorum and
 membership changes of one member at a time (Ongaro's thesis 2014, 4 and 9.6).
 
 Example:
     >>> core.step(envelope, now_s)  # doctest: +SKIP
-    >>> output = core.take(now_s)  # doctest: +SKIP
+    >>> output = core.take_output(now_s)  # doctest: +SKIP
     >>> storage.save(output.writes)  # doctest: +SKIP
     >>> transport.send(output.envelopes)  # doctest: +SKIP
 """
@@ -26,48 +26,51 @@
 __all__ = ["KEEP_ENTRIES", "Core"]
 
 KEEP_ENTRIES = 512
-"""Entries kept before a snapshot, so that a short absence needs no transfer
-of the whole state."""
+"""Entries retained before a snapshot, so that a follower that was unreachable
+for a short time needs no transfer of the whole state."""
 
 
 class Core:
     """One member of the group; used by one thread.
 
     Attributes:
-        state: Term, role, log; read it, change nothing in it.
+        state: Term, role and log; read-only for callers.
     """
 
     def __init__(
         self,
         me: membership_module.Member,
-        durable: state_module.Durable,
+        durable: state_module.DurableState,
         rng: random.Random,
         now_s: float,
         timing: state_module.Timing | None = None,
         contacts: tuple[membership_module.Member, ...] = (),
         is_founder: bool = False,
         keep_entries: int = KEEP_ENTRIES,
-        tending: state_module.Tending | None = None,
+        membership_policy: state_module.MembershipPolicy | None = None,
     ):
         """Starts a member.
 
         Args:
             me: Its identity and address.
-            durable: What storage holds; empty for an empty folder.
+            durable: The persisted state; empty for an empty folder.
             rng: Draws election timeouts and proposal ids.
-            now_s: The time.
-            timing: Times of the protocol.
-            contacts: The other processes of the settings' list; their `id` is
-                the name only.
-            is_founder: Whether this one stands first in that list.
-            keep_entries: Entries kept before a snapshot.
-            tending: How a leader tends the membership.
+            now_s: The current time.
+            timing: Timeouts and intervals of the protocol.
+            contacts: The other processes in the settings' list of voters;
+                their `id` is the name without the random part.
+            is_founder: Whether this process is the first in that list.
+            keep_entries: Entries retained before a snapshot.
+            membership_policy: How the leader changes the membership without
+                an operator.
         """
         timing = timing or state_module.Timing()
-        state = state_module.CoreState(me, durable, timing, rng, now_s, tending)
+        state = state_module.CoreState(
+            me, durable, timing, rng, now_s, membership_policy
+        )
         self.state = state
         self._keep_entries = keep_entries
-        self._handed_out = state.log.snapshot.index
+        self._last_output_index = state.log.snapshot.index
         self._election = election_module.Election(state)
         self._leading = leading_module.Leading(state)
         self._following = following_module.Following(state)
@@ -88,37 +91,38 @@
         }
 
     def step(self, envelope: messages.Envelope, now_s: float, via: str) -> None:
-        """Takes one message.
+        """Handles one message.
 
         Args:
             envelope: The message.
-            now_s: The time.
-            via: Who handed it over: its source, or the voter between.
+            now_s: The current time.
+            via: The member that delivered it: its source, or the voter that
+                relayed it.
         """
         state = self.state
         state.now_s = max(state.now_s, now_s)
         if envelope.target and envelope.target != state.me.id:
             if envelope.relayed and envelope.hop == state.me.id:
-                state.pass_on(envelope)
+                state.relay(envelope)
             return
-        state.heard_from(envelope, via)
+        state.record_route(envelope, via)
         self._handlers[type(envelope.message)](
             envelope.source, envelope.message
         )
 
     def tick(self, now_s: float) -> None:
-        """Lets timers run; call it at `next_wake_s` or more often."""
+        """Handles expired timers; must be called by `next_wake_s`."""
         self.state.now_s = max(self.state.now_s, now_s)
         self._joining.tick()
         if self._election.tick():
-            self._leading.begin()
+            self._leading.become_leader()
         state = self.state
         if state.is_leader:
             self._leading.tick()
-        elif not state.follows_live_leader():
-            silent_s = state.now_s - state.leader_heard_s
+        elif not state.has_live_leader():
+            silent_s = state.now_s - state.leader_contact_s
             if silent_s >= state.timing.election_max_s:
-                state.leader = membership_module.NOBODY
+                state.leader = membership_module.NO_MEMBER
         if state.is_leader and self._leading.may_change():
             change = self._leading.next_change()
             if change is not None:
@@ -127,19 +131,19 @@
     def propose(
         self, kind: messages.EntryKind, data: bytes
     ) -> messages.ProposalId:
-        """Takes a proposal; its entry comes out of `take` once committed."""
+        """Adds a proposal; `take_output` returns its entry when committed."""
         return self._proposals.add(kind, data)
 
-    def forget(self, number: messages.ProposalId) -> None:
-        """Gives a proposal up; it may still be committed."""
-        self._proposals.forget(number)
+    def stop_resending(self, number: messages.ProposalId) -> None:
+        """Stops sending a proposal again; it may still be committed."""
+        self._proposals.stop_resending(number)
 
     def compact(self, index: int, data: bytes) -> None:
-        """Takes over a snapshot of the state machine, and drops entries.
+        """Installs a snapshot of the state machine and drops old entries.
 
         Args:
             index: The last entry that the state machine had applied.
-            data: Its state.
+            data: The state of the state machine.
         """
         log = self.state.log
         term = log.term_at(index)
@@ -159,13 +163,13 @@
             )
         )
 
-    def stored(self, snapshot: messages.Snapshot) -> None:
-        """Uses a snapshot's file in place of its bytes in memory."""
+    def use_stored_snapshot(self, snapshot: messages.Snapshot) -> None:
+        """Replaces a snapshot in memory by its stored file."""
         if snapshot.index == self.state.log.snapshot.index:
             self.state.log.snapshot = snapshot
 
-    def take(self, now_s: float) -> messages.Output:
-        """Returns what all steps since the last call ask for."""
+    def take_output(self, now_s: float) -> messages.Output:
+        """Returns the output of all steps since the last call."""
         state = self.state
         state.now_s = max(state.now_s, now_s)
         self._proposals.flush()
@@ -173,54 +177,55 @@
             self._leading.flush()
         output, state.output = state.output, messages.Output()
         if output.restore is not None:
-            self._handed_out = output.restore.index
-        if self._handed_out < state.commit_index:
+            self._last_output_index = output.restore.index
+        if self._last_output_index < state.commit_index:
             output.committed = list(
-                state.log.slice(self._handed_out + 1, state.commit_index)
+                state.log.slice(self._last_output_index + 1, state.commit_index)
             )
-            self._handed_out = state.commit_index
+            self._last_output_index = state.commit_index
         for entry in output.committed:
-            self._proposals.forget(entry.proposal)
+            self._proposals.stop_resending(entry.proposal)
         return output
 
     @property
     def has_quorum(self) -> bool:
-        """Whether a leader with a majority is known to be there."""
+        """Whether there is a leader with a majority, as far as is known."""
         state = self.state
         if state.is_leader:
             return True
-        silent_s = state.now_s - state.leader_heard_s
+        silent_s = state.now_s - state.leader_contact_s
         return bool(state.leader) and silent_s < state.timing.election_max_s
 
     @property
     def applicants(self) -> dict[str, membership_module.Member]:
-        """Processes that asked to be let in, by name."""
+        """Processes that have requested to join, by name."""
         return self._joining.applicants
 
     def next_wake_s(self) -> float:
-        """Returns when `tick` has something to do."""
+        """Returns the time by which `tick` must be called next."""
         state = self.state
         if self._joining.is_outside:
-            return self._joining.due_s
+            return self._joining.next_request_s
         if state.is_leader:
             return self._leading.heartbeat_due_s
         retry_s = state.now_s + state.timing.retry_s
         if not state.is_voter:
-            # Only a voter's `tick` moves the election time on.
+            # The election timer is in the past and advances for voters only;
+            # returning it would make the log thread spin.
             return retry_s
         return min(state.election_due_s, retry_s)
 
     def _is_stale(self, term: int) -> bool:
         state = self.state
         if term > state.term:
-            state.follow(term, membership_module.NOBODY)
+            state.follow(term, membership_module.NO_MEMBER)
         return term < state.term or not state.is_leader
 
     def _on_vote_reply(
         self, source: membership_module.VoterId, reply: messages.VoteReply
     ) -> None:
         if self._election.on_reply(source, reply):
-            self._leading.begin()
+            self._leading.become_leader()
 
     def _on_append_reply(
         self, source: membership_module.VoterId, reply: messages.AppendReply
--- a/cardamombarrow/log/runner.py
+++ b/cardamombarrow/log/runner.py
@@ -1,8 +1,8 @@
-"""One member: its core, its storage and its state machine, in step.
+"""One member of the log: core, storage and state machine.
 
-The order of things is here, once, for the running log and for the fuzzer:
-what the core wants durable is synced before any message leaves and before any
-entry is applied.
+Enforces the order of operations for both the running log and the fuzzer: the
+core's writes are synced before any message is sent and before any entry is
+applied.
 """
 
 from collections import abc
@@ -18,23 +18,23 @@
 from cardamombarrow.log import state as state_module
 from cardamombarrow.log import storage as storage_module
 
-__all__ = ["OnRefused", "Runner"]
+__all__ = ["OnWriteError", "Runner"]
 
-OnRefused = abc.Callable[[OSError], None]
+OnWriteError = abc.Callable[[OSError], None]
 
 
-def _give_up(error: OSError) -> None:
+def _raise(error: OSError) -> None:
     raise error
 
 
 class Runner:
-    """Opens a data folder and carries out what the core asks for.
+    """Opens a data folder and processes the core's output.
 
     Attributes:
-        core: The state machine of the protocol.
+        core: The protocol.
         storage: The data folder.
-        replica: The state machine on the log; all of it is rebuilt from the
-            snapshot and the entries after it.
+        replica: The replicated state machine; it is rebuilt from the snapshot
+            and the entries after it.
     """
 
     def __init__(
@@ -49,9 +49,9 @@
         sync: abc.Callable[[int], None],
         timing: state_module.Timing | None = None,
         keep_entries: int = core_module.KEEP_ENTRIES,
-        tending: state_module.Tending | None = None,
+        membership_policy: state_module.MembershipPolicy | None = None,
     ):
-        """Opens a folder; `me.id` is the name, without the random part.
+        """Opens a folder; `me.id` is the name without the random part.
 
         Raises:
             storage_module.CorruptError: The folder is damaged.
@@ -67,7 +67,7 @@
             contacts,
             is_founder,
             keep_entries,
-            tending,
+            membership_policy,
         )
         self.replica = replica_module.Replica(machine)
         snapshot = durable.entries.snapshot
@@ -79,41 +79,45 @@
         self.replica.restore(data.read(0, data.size_bytes))
 
     def persist(
-        self, now_s: float, on_refused: OnRefused = _give_up
+        self, now_s: float, on_write_error: OnWriteError = _raise
     ) -> messages.Output:
-        """Makes durable what the core asks for.
+        """Syncs the core's pending writes.
 
         Args:
-            now_s: The time.
-            on_refused: Called where the disk refuses a write; it returns when
-                the write is to be tried again, or raises.
+            now_s: The current time.
+            on_write_error: Called when a write fails; returns when the write
+                is to be tried again, or raises.
 
         Returns:
-            What may go out, and be applied, now that all is synced.
+            The core's output, whose envelopes and committed entries may now
+            be sent and applied.
         """
-        output = self.core.take(now_s)
+        output = self.core.take_output(now_s)
         for batch in storage_module.batches(output.writes):
-            self._save(batch, on_refused)
+            self._save(batch, on_write_error)
         if output.committed:
-            # Only a hint for a start without peers: not worth a stop.
+            # Needed only for a start without peers, so a failed write is
+            # not an error.
             with contextlib.suppress(OSError):
                 self.storage.save_commit(output.committed[-1].index)
         if any(isinstance(w, messages.SnapshotWrite) for w in output.writes):
-            self.core.stored(self.storage.snapshot())
+            self.core.use_stored_snapshot(self.storage.snapshot())
         return output
 
-    def _save(self, batch: storage_module.Batch, on_refused: OnRefused) -> None:
+    def _save(
+        self, batch: storage_module.Batch, on_write_error: OnWriteError
+    ) -> None:
         while True:
             try:
                 self.storage.save(batch)
                 return
             except OSError as error:
-                on_refused(error)
+                on_write_error(error)
 
     def apply(
         self, output: messages.Output
     ) -> abc.Iterator[tuple[messages.Entry, bytes]]:
-        """Applies what an output commits; yields each proposal's answer."""
+        """Applies committed entries; yields each proposal's answer."""
         if output.restore is not None:
             self._restore(output.restore)
         yield from self.replica.apply(output.committed)
--- a/cardamombarrow/log/tests/test_core_fuzz.py
+++ b/cardamombarrow/log/tests/test_core_fuzz.py
@@ -1,6 +1,6 @@
 """Stateful fuzzing of the log against the oracle in `simulation`.
 
-``FUZZ_EXAMPLES`` and ``FUZZ_SEED`` ask for a longer or another run.
+``FUZZ_EXAMPLES`` sets the number of examples, ``FUZZ_SEED`` the seed.
 """
 
 import os
@@ -20,24 +20,27 @@
 
 _NAMES = strategies.sampled_from("ABC")
 _SHARES = strategies.sampled_from([0.0, 0.5, 1.0])
-_PLACES = strategies.integers(0, 40)
+_POSITIONS = strategies.integers(0, 40)
 
 
 class LogMachine(stateful.RuleBasedStateMachine):
-    """Does to a group of three what can happen to it."""
+    """Exposes a group of three to faults in random order."""
 
-    tending: state_module.Tending | None = None
+    membership_policy: state_module.MembershipPolicy | None = None
 
     @stateful.initialize(seed=strategies.integers(0, 1_000))
     def found(self, seed):
         self._folder = tempfile.TemporaryDirectory()
         self.cluster = simulation.Cluster(
-            pathlib.Path(self._folder.name), list("ABC"), seed, self.tending
+            pathlib.Path(self._folder.name),
+            list("ABC"),
+            seed,
+            self.membership_policy,
         )
         assert self.cluster.run_until(self._is_whole)
 
     def _is_whole(self):
-        """Whether three voters are alive and caught up, as status tells."""
+        """Whether three voters are alive and caught up, as in the status."""
         leader = self.cluster.leader()
         if leader is None:
             return False
@@ -67,7 +70,7 @@
 
     @stateful.rule(name=_NAMES)
     def time_out(self, name):
-        # Time passes without any message, and one member notices first.
+        # An election timeout passes without messages; one member ticks first.
         self.cluster.now_s += simulation.TIMING.election_max_s
         self.cluster.tick(name)
 
@@ -76,23 +79,23 @@
         self.cluster.now_s += simulation.STEP_S
         self.cluster.tick(name)
 
-    @stateful.precondition(lambda self: self.cluster.posted)
-    @stateful.rule(place=_PLACES, keep=strategies.booleans())
-    def deliver(self, place, keep):
-        self.cluster.deliver(place, keep)
+    @stateful.precondition(lambda self: self.cluster.in_transit)
+    @stateful.rule(position=_POSITIONS, duplicate=strategies.booleans())
+    def deliver(self, position, duplicate):
+        self.cluster.deliver(position, duplicate)
 
-    @stateful.precondition(lambda self: self.cluster.posted)
+    @stateful.precondition(lambda self: self.cluster.in_transit)
     @stateful.rule(name=_NAMES)
     def deliver_all_to(self, name):
         cluster = self.cluster
-        waiting = [p for p in cluster.posted if p[1] == name]
+        waiting = [p for p in cluster.in_transit if p[1] == name]
         for item in waiting:
-            cluster.deliver(cluster.posted.index(item))
+            cluster.deliver(cluster.in_transit.index(item))
 
-    @stateful.precondition(lambda self: self.cluster.posted)
-    @stateful.rule(place=_PLACES)
-    def drop(self, place):
-        del self.cluster.posted[place % len(self.cluster.posted)]
+    @stateful.precondition(lambda self: self.cluster.in_transit)
+    @stateful.rule(position=_POSITIONS)
+    def drop(self, position):
+        del self.cluster.in_transit[position % len(self.cluster.in_transit)]
 
     @stateful.rule(name=_NAMES, share=_SHARES)
     def crash(self, name, share):
@@ -101,7 +104,7 @@
 
     @stateful.rule(share=_SHARES)
     def power_cut(self, share):
-        # All processes at once; only what was synced is left for certain.
+        # Affects all processes at once; unsynced data may be lost.
         for node in self.cluster.alive:
             node.crash(share)
 
@@ -116,7 +119,7 @@
         node = self._node(name)
         if node.runner:
             node.runner.core.tick(self.cluster.now_s)
-            node.work(torn=True)
+            node.process_output(drop_output=True)
             node.crash(0.5)
 
     @stateful.rule(name=_NAMES)
@@ -142,7 +145,8 @@
 
     @stateful.rule(name=_NAMES)
     def isolate_long_and_return(self, name):
-        # A voter is cut off for long and returns; it must depose nobody.
+        # A voter that returns after a long isolation must not depose the
+        # leader.
         cluster = self.cluster
         if not self._is_whole() or cluster.leader().name == name:
             return
@@ -161,7 +165,7 @@
 
     @stateful.rule(name=_NAMES)
     def elect(self, name):
-        # Two of the three are in reach of each other; one of them leads.
+        # Two of the three can reach each other; one of them becomes leader.
         cluster = self.cluster
         if not self._node(name).runner:
             self._node(name).start()
@@ -180,8 +184,8 @@
 
     @stateful.rule(name=_NAMES, again=strategies.booleans())
     def lose_disk_when_redundant(self, name, again):
-        # `redundant` promises that one more loss is survived; it is taken at
-        # its word, and again right after the repair.
+        # `redundant` promises that one more loss is tolerated, also right
+        # after the repair of the last one.
         for lost in (name, "ABC"["ABC".index(name) - 1])[: 1 + again]:
             if not self._is_whole():
                 return
@@ -230,7 +234,9 @@
             if not node.runner:
                 node.start()
         for name in "ABC":
-            assert cluster.answers(name), "no answer after all is healed"
+            assert cluster.answers(name), (
+                "no answer after all faults have ended"
+            )
         cluster.run(3.0)
         leader = cluster.leader()
         assert set(cluster.oracle.answered) <= set(leader.machine.commands)
@@ -239,14 +245,16 @@
         cluster.run(1.5)
         term = cluster.leader().runner.core.state.term
         for name in "ABC":
-            assert cluster.answers(name), "no answer with A and C apart"
+            assert cluster.answers(name), (
+                "no answer with the link between A and C cut"
+            )
         assert cluster.leader().runner.core.state.term == term
 
 
-class TendedLogMachine(LogMachine):
-    """The same, where the leader tends the membership and no operator does."""
+class AutomaticMembershipMachine(LogMachine):
+    """The same with automatic membership changes and no operator."""
 
-    tending = state_module.Tending(wanted_voters=3)
+    membership_policy = state_module.MembershipPolicy(wanted_voters=3)
 
     @stateful.rule(name=_NAMES, kind=strategies.just("add"))
     def change_membership(self, name, kind):
@@ -265,8 +273,8 @@
     suppress_health_check=list(hypothesis.HealthCheck),
 )
 TestLog = LogMachine.TestCase
-TestTendedLog = TendedLogMachine.TestCase
-for _case in (TestLog, TestTendedLog):
+TestLogWithAutomaticMembership = AutomaticMembershipMachine.TestCase
+for _case in (TestLog, TestLogWithAutomaticMembership):
     _case.settings = _SETTINGS
     if _SEED is not None:
         _case.runTest = hypothesis.seed(int(_SEED))(_case.runTest)
