--- a/cardamombarrow/gossip/__init__.py
+++ b/cardamombarrow/gossip/__init__.py
@@ -1,5 +1,5 @@
-"""What the instances of a failure domain tell each other, as pure code.
+"""Gossip between the instances of a failure domain, as pure code.
 
-No socket, no thread, no clock: time comes in as ``now_s``. `peers` carries
-the messages; `docs/gossip.md` tells the whole.
+No socket, thread or clock: the time is passed in as ``now_s``. `peers`
+transports the messages; `docs/gossip.md` describes the protocol.
 """
--- a/cardamombarrow/gossip/leaving.py
+++ b/cardamombarrow/gossip/leaving.py
@@ -1,9 +1,9 @@
 """Whether an endpoint leaves, from several sources that may lag.
 
-An endpoint gets no new work as soon as one source says that it leaves: the
-platform's list, its own report, or another instance that heard it from one
-of these. The list lags behind the report and would put the endpoint back into
-use, so no source may take back what another one says.
+An endpoint gets no new work as soon as one source reports it as leaving: the
+platform's list, its own load report, or another instance that got it from one
+of these. The list lags behind the report and would return the endpoint to
+use too early, so no source can revoke what another one reports.
 """
 
 from cardamombarrow.kernel import ids
@@ -12,46 +12,46 @@
 
 
 class LeavingView:
-    """Joins what the sources say."""
+    """Combines the reports of all sources."""
 
     def __init__(self):
-        self._said: dict[ids.EndpointId, set[str]] = {}
+        self._sources: dict[ids.EndpointId, set[str]] = {}
 
     def tell(
         self, endpoint: ids.EndpointId, source: str, leaving: bool
     ) -> bool | None:
-        """Takes one source's word.
+        """Updates the state that one source reports for an endpoint.
 
         Returns:
             Whether the endpoint leaves, if that changed; else None.
         """
-        said = self._said.setdefault(endpoint, set())
-        before = bool(said)
+        reporting = self._sources.setdefault(endpoint, set())
+        before = bool(reporting)
         if leaving:
-            said.add(source)
+            reporting.add(source)
         else:
-            said.discard(source)
-        after = bool(said)
+            reporting.discard(source)
+        after = bool(reporting)
         if not after:
-            del self._said[endpoint]
+            del self._sources[endpoint]
         return after if after != before else None
 
     def forget_source(self, source: str) -> list[ids.EndpointId]:
-        """Drops a source; returns endpoints that are in use again."""
-        back = []
-        for endpoint in list(self._said):
+        """Removes a source; returns the endpoints that no longer leave."""
+        restored = []
+        for endpoint in list(self._sources):
             if self.tell(endpoint, source, leaving=False) is False:
-                back.append(endpoint)
-        return back
+                restored.append(endpoint)
+        return restored
 
     def leaving(self) -> list[ids.EndpointId]:
-        """Returns the endpoints of which any source says it leaves."""
-        return list(self._said)
+        """Returns the endpoints that any source reports as leaving."""
+        return list(self._sources)
 
     def said_by(self, sources: frozenset[str]) -> list[ids.EndpointId]:
-        """Returns the endpoints of which one of these says it leaves."""
+        """Returns the endpoints that one of these sources reports."""
         return [
             endpoint
-            for endpoint, said in self._said.items()
-            if not said.isdisjoint(sources)
+            for endpoint, reporting in self._sources.items()
+            if not reporting.isdisjoint(sources)
         ]
--- a/cardamombarrow/gossip/rendezvous.py
+++ b/cardamombarrow/gossip/rendezvous.py
@@ -1,10 +1,11 @@
-"""Which instances poll an endpoint, by rendezvous hashing.
-
-Every instance of a domain polling every endpoint would ask each endpoint 36
-times a second at the target size. Two ask, and share what they learn; each
-instance works out by itself who they are, and a change of members moves only
-the endpoints of who came or went (D. Thaler, C. Ravishankar, "Using
-name-based mappings to increase hit rates", 1998).
+"""Assignment of pollers to endpoints by rendezvous hashing.
+
+If every instance of a domain polled every endpoint, each endpoint would be
+polled 36 times a second at the target size. Instead two instances poll it and
+share the results. Each instance computes the assignment by itself, and a
+change of members moves only the endpoints of the members that joined or left
+(D. Thaler, C. Ravishankar, "Using name-based mappings to increase hit rates",
+1998).
 """
 
 from collections import abc
--- a/cardamombarrow/gossip/rows.py
+++ b/cardamombarrow/gossip/rows.py
@@ -23,31 +23,31 @@
 
 
 class ItemKind(enum.IntEnum):
-    """What an item of a row tells; a number, because it is hashed often."""
+    """Kind of an item of a row; an integer because it is hashed often."""
 
     DEMAND = 1
     """Requests waiting and running, by service."""
 
     IN_FLIGHT = 2
-    """Requests that the instance has on each endpoint; one item."""
+    """Requests that the instance has in flight on each endpoint; one item."""
 
     LEAVING = 3
-    """Its own sources say that the endpoint leaves, by endpoint."""
+    """The instance's own sources report it as leaving, by endpoint."""
 
     QUARANTINE = 4
     """Local time at which the quarantine ends, by fingerprint."""
 
     REPORT = 5
-    """The endpoint's load report that it polled, by endpoint's hash."""
+    """The load report that the instance polled, by endpoint hash."""
 
     LISTING = 6
-    """Which list of endpoints it read, and when; one item."""
+    """Which list of endpoints the instance fetched, and when; one item."""
 
     LISTED = 7
-    """That list as text; one item."""
+    """The text of that list; one item."""
 
     RATE_LIMIT = 8
-    """The rate limit that an endpoint stated to it, by endpoint's hash."""
+    """The rate limit that an endpoint stated, by endpoint hash."""
 
 
 Key = tuple[ItemKind, str | int]
@@ -55,16 +55,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InFlight:
-    """Requests on each endpoint, as an array over a list of endpoints.
+    """Requests in flight on each endpoint, as an array over their list.
 
-    One item for each endpoint, named by a hash, took more bytes and more time
-    than all else in a row. Instances mostly have the same list of endpoints
-    in force; where they do not, the numbers are of no use to each other until
-    the newer document has come.
+    One item per endpoint, keyed by a hash, took more bytes and time than the
+    rest of the row. Instances mostly have the same list of endpoints in force;
+    until they do, the receiver ignores the counts.
 
     Attributes:
         list_hash: `endpoint_hash` of the sorted endpoints, joined by spaces.
-        counts: One number for each of them.
+        counts: One count per endpoint of that list.
     """
 
     list_hash: int
@@ -73,14 +72,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListingMark:
-    """That an instance read a list of endpoints.
+    """Identifies a fetched list of endpoints by hash and time.
 
-    A list seldom changes and is read often. Its text is sent when it changes,
-    and these few bytes at each reading.
+    A list rarely changes and is fetched often. Its text is sent only when it
+    changes, these few bytes after each fetch.
 
     Attributes:
         text_hash: `endpoint_hash` of the list's text.
-        read_s: Local time at which it was read.
+        read_s: Local time at which it was fetched.
     """
 
     text_hash: int
@@ -100,11 +99,11 @@
 
 
 def endpoint_hash(endpoint: ids.EndpointId) -> int:
-    """Returns 64 bits that stand for an endpoint on the wire.
+    """Returns the 64-bit hash that identifies an endpoint on the wire.
 
-    An address of 18 bytes for each endpoint, instance and second is most of
-    what gossip would send; 8 bytes do. Two of 640 endpoints share a hash with
-    a chance of 1 in 10^14.
+    Addresses of 18 bytes, sent for each endpoint by each instance every
+    second, would dominate the gossip traffic; a hash takes 8 bytes. The
+    probability that two of 640 endpoints collide is 1 in 10^14.
     """
     digest = hashlib.blake2b(endpoint.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
@@ -115,9 +114,9 @@
     """One item of a row.
 
     Attributes:
-        version: The row's version when it changed last, or later.
-        value: None where it was removed.
-        changed_s: Local time at which the change came in.
+        version: The row's version at the last change of the item, or later.
+        value: None if the item was removed.
+        changed_s: Local time at which the change was received.
     """
 
     version: int
@@ -127,12 +126,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """What every delta of a row repeats.
+    """Header of a row; part of each delta.
 
     Attributes:
-        address: ``host:port`` at which the instance listens for others; the
-            same within an incarnation, and not repeated in later deltas.
-        left: The instance has said goodbye.
+        address: ``host:port`` at which the instance listens for others;
+            constant within an incarnation and omitted from later deltas.
+        left: Whether the instance has announced its shutdown.
     """
 
     address: str
@@ -141,20 +140,20 @@
 
 
 Digest = dict[ids.InstanceId, tuple[int, int]]
-"""Incarnation and version of each row that is known."""
+"""Incarnation and version of each known row."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowDelta:
-    """What changed in one instance's row after a version.
+    """Changes of one instance's row after a version.
 
     Attributes:
-        incarnation: Grows with each start of the instance.
-        version: The row's version with this delta; grows every second, so
-            that it is the heartbeat as well.
-        since: The version that the delta starts from; 0 is the whole row.
+        incarnation: Increases with each start of the instance.
+        version: The row's version after this delta; it increases every second
+            and also serves as the heartbeat.
+        since: The version that the delta starts from; 0 for the whole row.
         age_s: Time since the instance itself had this version.
-        items: Changed items; None removes one.
+        items: Changed items; the value None removes an item.
     """
 
     instance: ids.InstanceId
@@ -168,12 +167,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Changes:
-    """What came in by a set of deltas.
+    """Result of applying a set of deltas.
 
     Attributes:
-        items: Changed items by instance, with their new value.
+        items: Changed items with their instance and new value.
         refreshed: Instances whose row is newer than before.
-        left: Instances that said goodbye.
+        left: Instances that announced their shutdown.
     """
 
     items: list[tuple[ids.InstanceId, Key, Value | None]] = dataclasses.field(
--- a/cardamombarrow/gossip/table.py
+++ b/cardamombarrow/gossip/table.py
@@ -1,11 +1,11 @@
 """The gossip table: a versioned row per instance of the failure domain.
 
-Each instance writes its own row only and raises the row's version with each
-round. Two instances compare the versions that they know and send each other
-what the other lacks (anti-entropy by versions, as in R. van Renesse et al.,
-"Efficient reconciliation and flow control for anti-entropy protocols", 2008).
-A row whose version stands still for too long belongs to an instance that is
-dead or cut off.
+Each instance writes only its own row and increments the row's version with
+each round. Two instances compare the versions that they have and send each
+other the missing changes (anti-entropy by versions, as in R. van Renesse et
+al., "Efficient reconciliation and flow control for anti-entropy protocols",
+2008). If a row's version does not increase for too long, its instance is
+considered dead or cut off.
 """
 
 from collections import abc
@@ -20,24 +20,24 @@
 """A row not refreshed for this long is dropped. With one partner a second a
 row reaches 36 instances within about 6 rounds."""
 
-REMOVED_KEPT_S = 60.0
-"""How long a removed item is told of: longer than `DEAD_AGE_S`, after which
-whoever has not heard of the removal has dropped the row altogether."""
+TOMBSTONE_TTL_S = 60.0
+"""How long a removed item is propagated: longer than `DEAD_AGE_S`, after which
+an instance that missed the removal has dropped the whole row."""
 
-DEAD_KEPT_S = 600.0
-"""How long a dropped row's version is remembered, so that a late message does
-not bring it back. No instance still tells of the row by then."""
+DROPPED_ROW_TTL_S = 600.0
+"""How long the version of a dropped row is stored, so that a late message does
+not restore it. After this time no instance sends the row any more."""
 
 
 @dataclasses.dataclass
 class Row:
-    """What is known of one instance.
+    """The state of one instance as known here.
 
     Attributes:
         refreshed_s: Local time at which the instance itself had `version`.
         items: By key, in the order of their last change.
-        floor: Lowest version from which changes can be told here: removals
-            up to it are not known, or forgotten.
+        floor: Lowest version that a delta can start from: removals up to
+            it are unknown here or have been discarded.
     """
 
     instance: ids.InstanceId
@@ -55,7 +55,7 @@
         version: int,
         now_s: float,
     ) -> None:
-        """Stores an item as the last changed."""
+        """Stores an item as the most recently changed one."""
         item = self.items.pop(key, None)
         if item is None:
             item = rows.Item(version, value, now_s)
@@ -79,7 +79,7 @@
         return changed
 
     def prune(self, oldest_s: float) -> None:
-        """Forgets items that were removed before a time."""
+        """Discards items that were removed before `oldest_s`."""
         for key, item in list(self.items.items()):
             if item.changed_s >= oldest_s:
                 return
@@ -89,8 +89,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Dead:
-    """The last version of a dropped row."""
+class _DroppedRow:
+    """Last version of a dropped row."""
 
     incarnation: int
     version: int
@@ -98,7 +98,7 @@
 
 
 class Table:
-    """Rows of all instances that are thought to be alive, one's own too."""
+    """Rows of all instances considered alive, including this instance."""
 
     def __init__(
         self,
@@ -109,17 +109,17 @@
     ):
         self.own = Row(instance, incarnation, 1, head, now_s)
         self._rows = {instance: self.own}
-        self._dead: dict[ids.InstanceId, _Dead] = {}
+        self._dropped: dict[ids.InstanceId, _DroppedRow] = {}
 
     def live(self) -> abc.Collection[Row]:
-        """Returns every live row, one's own too."""
+        """Returns all live rows, including the own row."""
         return self._rows.values()
 
     def others(self) -> list[Row]:
         """Returns the rows of the other live instances."""
         return [row for row in self._rows.values() if row is not self.own]
 
-    # -- one's own row -----------------------------------------------------
+    # -- own row -----------------------------------------------------------
 
     def update(
         self,
@@ -127,13 +127,12 @@
         items: dict[rows.Key, rows.Value],
         now_s: float,
     ) -> set[rows.Key]:
-        """Replaces one's own row and raises its version.
+        """Replaces the own row and increments its version.
 
         Args:
-            head: The new head.
-            items: All items of the row; those that it had before and that
-                are absent here are removed.
-            now_s: The time.
+            head: The new header.
+            items: All items of the row; items absent here are removed.
+            now_s: The current time.
 
         Returns:
             The keys that changed.
@@ -144,8 +143,8 @@
         own.refreshed_s = now_s
         changed = set()
         for key, value in items.items():
-            known = own.items.get(key)
-            if known is None or known.value != value:
+            current = own.items.get(key)
+            if current is None or current.value != value:
                 own.put(key, value, own.version, now_s)
                 changed.add(key)
         for key, item in list(own.items.items()):
@@ -157,14 +156,14 @@
     # -- exchange ------------------------------------------------------------
 
     def digest(self) -> rows.Digest:
-        """Returns which version of each row is known here."""
+        """Returns the version of each row in this table."""
         return {
             row.instance: (row.incarnation, row.version)
             for row in self._rows.values()
         }
 
     def deltas(self, known: rows.Digest, now_s: float) -> list[rows.RowDelta]:
-        """Returns what an instance with this digest lacks."""
+        """Returns the changes missing at an instance with this digest."""
         result = []
         for row in self._rows.values():
             incarnation, version = known.get(row.instance, (0, 0))
@@ -189,30 +188,33 @@
     def apply(
         self, deltas: abc.Iterable[rows.RowDelta], now_s: float
     ) -> rows.Changes:
-        """Takes what another instance sent; a version never goes back."""
+        """Applies deltas of another instance; versions never decrease."""
         changes = rows.Changes()
         for delta in deltas:
             if delta.instance == self.own.instance:
-                self._outlive(delta)
-            elif self._is_news(delta):
-                self._take(delta, now_s, changes)
+                self._supersede_earlier_incarnation(delta)
+            elif self._is_applicable(delta):
+                self._apply_delta(delta, now_s, changes)
         return changes
 
-    def _outlive(self, delta: rows.RowDelta) -> None:
-        """Rises above an earlier life of this instance.
+    def _supersede_earlier_incarnation(self, delta: rows.RowDelta) -> None:
+        """Raises the own incarnation above that of an earlier process.
 
-        After a restart with a clock that was set back, the row of the earlier
-        life would hide this one's: nobody would hear of it until that row is
-        dropped.
+        After a restart with a clock that was set back, the other instances
+        would ignore the new row until the earlier process's row is dropped.
         """
         own = self.own
         if (delta.incarnation, delta.version) > (own.incarnation, own.version):
             own.incarnation = delta.incarnation + 1
 
-    def _is_news(self, delta: rows.RowDelta) -> bool:
+    def _is_applicable(self, delta: rows.RowDelta) -> bool:
+        """Returns whether a delta is newer than its row and adjoins it."""
         version = (delta.incarnation, delta.version)
-        dead = self._dead.get(delta.instance)
-        if dead is not None and version <= (dead.incarnation, dead.version):
+        dropped = self._dropped.get(delta.instance)
+        if dropped is not None and version <= (
+            dropped.incarnation,
+            dropped.version,
+        ):
             return False
         row = self._rows.get(delta.instance)
         if row is None or delta.incarnation > row.incarnation:
@@ -221,16 +223,16 @@
             return False
         return delta.since <= row.version
 
-    def _take(
+    def _apply_delta(
         self, delta: rows.RowDelta, now_s: float, changes: rows.Changes
     ) -> None:
         refreshed_s = now_s - delta.age_s
         if delta.age_s > DEAD_AGE_S:
             return
-        self._dead.pop(delta.instance, None)
+        self._dropped.pop(delta.instance, None)
         row = self._rows.get(delta.instance)
         if row is None or delta.since == 0:
-            self._replace(row, delta, changes)
+            self._record_missing_items(row, delta, changes)
             row = Row(
                 delta.instance,
                 delta.incarnation,
@@ -251,31 +253,33 @@
             changes.left.append(row.instance)
             self._drop(row, now_s)
 
-    def _replace(
+    def _record_missing_items(
         self, old: Row | None, delta: rows.RowDelta, changes: rows.Changes
     ) -> None:
-        """Notes the items that a whole row no longer has."""
-        kept = {key for key, _ in delta.items}
+        """Records as removed the items that a whole row no longer has."""
+        remaining = {key for key, _ in delta.items}
         for key in old.items if old else ():
-            if key not in kept:
+            if key not in remaining:
                 changes.items.append((delta.instance, key, None))
 
     # -- failure detection -----------------------------------------------------
 
     def expire(self, now_s: float) -> list[ids.InstanceId]:
-        """Drops rows that stand still; returns their instances."""
-        late = [
+        """Drops rows that are no longer refreshed; returns their instances."""
+        expired = [
             row for row in self.others() if now_s - row.refreshed_s > DEAD_AGE_S
         ]
-        for row in late:
+        for row in expired:
             self._drop(row, now_s)
         for row in self._rows.values():
-            row.prune(now_s - REMOVED_KEPT_S)
-        for instance, dead in list(self._dead.items()):
-            if now_s - dead.dropped_s > DEAD_KEPT_S:
-                del self._dead[instance]
-        return [row.instance for row in late]
+            row.prune(now_s - TOMBSTONE_TTL_S)
+        for instance, dropped in list(self._dropped.items()):
+            if now_s - dropped.dropped_s > DROPPED_ROW_TTL_S:
+                del self._dropped[instance]
+        return [row.instance for row in expired]
 
     def _drop(self, row: Row, now_s: float) -> None:
         del self._rows[row.instance]
-        self._dead[row.instance] = _Dead(row.incarnation, row.version, now_s)
+        self._dropped[row.instance] = _DroppedRow(
+            row.incarnation, row.version, now_s
+        )
--- a/cardamombarrow/gossip/tests/test_leaving.py
+++ b/cardamombarrow/gossip/tests/test_leaving.py
@@ -1,12 +1,12 @@
-"""Joining what sources say of an endpoint that leaves."""
+"""Combining the sources that report an endpoint as leaving."""
 
 from cardamombarrow.gossip import leaving
 from cardamombarrow.gossip import rendezvous
 
 
-def test_a_lagging_list_does_not_put_a_leaving_endpoint_back_into_use():
+def test_a_lagging_list_does_not_restore_a_leaving_endpoint():
     # The endpoint's own report says that it leaves; the platform's list lags
-    # and still calls it live. Requests sent to it would be cut.
+    # and still shows it as live. Requests sent to it would be cut off.
     view = leaving.LeavingView()
     assert view.tell("10.0.0.1:8000", "report", True) is True
     assert view.tell("10.0.0.1:8000", "list", False) is None
@@ -15,7 +15,7 @@
     assert view.leaving() == []
 
 
-def test_the_word_of_an_instance_that_is_gone_is_forgotten():
+def test_reports_of_a_dead_instance_are_discarded():
     view = leaving.LeavingView()
     view.tell("a", "instance entry-2", True)
     view.tell("b", "instance entry-2", True)
@@ -25,8 +25,8 @@
 
 
 def test_every_endpoint_has_two_pollers_and_few_move():
-    # When an instance dies, endpoints whose pollers are all replaced would go
-    # unobserved for a while.
+    # If a death replaced both pollers of an endpoint at once, nothing would
+    # poll it until the new ones start.
     members = [f"entry-{number}" for number in range(12)]
     endpoints = [f"10.0.0.{number}:8000" for number in range(58)]
     before = {e: set(rendezvous.pollers(e, members)) for e in endpoints}
--- a/cardamombarrow/gossip/tests/test_table_fuzz.py
+++ b/cardamombarrow/gossip/tests/test_table_fuzz.py
@@ -1,4 +1,4 @@
-"""Several tables under loss, delay, restarts and cuts, against an oracle."""
+"""Tables under loss, delay, restarts and partitions, against an oracle."""
 
 import random
 
@@ -20,10 +20,10 @@
 
 
 class GossipMachine(stateful.RuleBasedStateMachine):
-    """The oracle: what each instance last wrote, by incarnation and version.
+    """The oracle: what each instance wrote, by incarnation and version.
 
-    Whatever a table holds of a row must be what its owner wrote at just that
-    version; what a table knows never goes back while it holds the row.
+    The items of a row must be those that its owner wrote at that version, and
+    the version of a row never decreases while a table holds it.
     """
 
     def __init__(self):
@@ -33,7 +33,7 @@
         self.starts = 0
         self.content = [{} for _ in range(_COUNT)]
         self.tables = [self._start(number) for number in range(_COUNT)]
-        self.under_way = []
+        self.in_transit = []
         self.known = [{} for _ in range(_COUNT)]
 
     def _start(self, number):
@@ -41,10 +41,10 @@
         table = table_module.Table(
             f"entry-{number}", self.starts, _head(number), self.now_s
         )
-        self._note(table)
+        self._record(table)
         return table
 
-    def _note(self, table):
+    def _record(self, table):
         own = table.own
         self.written[own.instance, own.incarnation, own.version] = {
             key: item.value
@@ -59,23 +59,23 @@
     def write(self, number, content):
         items = {(rows.ItemKind.DEMAND, k): v for k, v in content.items()}
         self.tables[number].update(_head(number), items, self.now_s)
-        self._note(self.tables[number])
+        self._record(self.tables[number])
 
-    @stateful.rule(sender=_nodes, asker=_nodes)
-    def send(self, sender, asker):
-        digest = self.tables[asker].digest()
+    @stateful.rule(sender=_nodes, receiver=_nodes)
+    def send(self, sender, receiver):
+        digest = self.tables[receiver].digest()
         deltas = self.tables[sender].deltas(digest, self.now_s)
         if deltas:
-            self.under_way.append((asker, deltas))
+            self.in_transit.append((receiver, deltas))
 
-    @stateful.precondition(lambda self: self.under_way)
+    @stateful.precondition(lambda self: self.in_transit)
     @stateful.rule(back=st.integers(0, 4))
     def deliver(self, back):
-        # Never taken out: a message may come twice and at any later time.
-        place = max(0, len(self.under_way) - 1 - back)
-        number, deltas = self.under_way[place]
+        # Never removed: a message may be delivered twice and arbitrarily late.
+        place = max(0, len(self.in_transit) - 1 - back)
+        number, deltas = self.in_transit[place]
         self.tables[number].apply(deltas, self.now_s)
-        self._note(self.tables[number])
+        self._record(self.tables[number])
 
     @stateful.rule(number=_nodes)
     def restart(self, number):
@@ -101,7 +101,7 @@
                 assert held == self.written[version]
 
     @stateful.invariant()
-    def versions_never_go_back(self):
+    def versions_never_decrease(self):
         for table, known in zip(self.tables, self.known, strict=True):
             for row in table.others():
                 version = (row.incarnation, row.version)
@@ -109,12 +109,12 @@
                 known[row.instance] = version
 
     def teardown(self):
-        # Once messages arrive, all hear of all, whatever came before.
+        # Once all messages are delivered, every table gets every row.
         for _ in range(3 * _COUNT):
             self.now_s += 1.0
             for number, table in enumerate(self.tables):
                 table.update(_head(number), {}, self.now_s)
-                self._note(table)
+                self._record(table)
             for table in self.tables:
                 for other in self.tables:
                     deltas = other.deltas(table.digest(), self.now_s)
@@ -143,9 +143,9 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_nobody_alive_is_dropped_among_36_instances(seed):
-    # Were the time to detection too short for the fan-out, live instances
-    # would come and go at the others, and shares of slots would jump.
+def test_no_live_instance_is_dropped_among_36(seed):
+    # With a failure timeout too short for the fan-out, live instances would
+    # be dropped and added again, and the shares of slots would jump.
     rng = random.Random(seed)
     tables = [
         table_module.Table(f"entry-{n}", 1, _head(n), 0.0) for n in range(36)
@@ -160,10 +160,10 @@
     assert all(len(table.live()) == 36 for table in tables)
 
 
-def test_a_dead_instance_is_dropped_and_back_after_a_restart():
-    # An entry is killed and started again by the platform. The others go on
-    # splitting slots with the dead one until they notice, and must split
-    # with the new one from the first message on.
+def test_a_dead_instance_is_dropped_and_rejoins_after_a_restart():
+    # The platform kills an entry and starts it again. The others share slots
+    # with the dead process until it times out, and must share with the new
+    # one from its first message on.
     one = table_module.Table("entry-1", 1, _head(1), 0.0)
     two = table_module.Table("entry-2", 1, _head(2), 0.0)
     late = two.deltas({}, 0.0)
@@ -178,10 +178,10 @@
     assert {row.instance for row in one.live()} == {"entry-1", "entry-2"}
 
 
-def test_a_delta_on_a_version_that_is_not_held_is_left():
-    # An instance restarts and hears an old row first; then a delta arrives
-    # that was meant for its earlier life. Items between the two would be
-    # missing, and nobody would send them again.
+def test_a_delta_on_a_version_that_is_not_held_is_ignored():
+    # An instance restarts and first receives an old row, then a delta that
+    # was sent to its earlier incarnation. If it applied the delta, the items
+    # between the two would be missing and never be sent again.
     one = table_module.Table("entry-1", 1, _head(1), 0.0)
     two = table_module.Table("entry-2", 1, _head(2), 0.0)
     old = two.deltas({}, 0.0)
@@ -196,12 +196,12 @@
     assert {key[1] for key in one.others()[0].items} == {"a"}
 
 
-def test_a_removal_reaches_who_hears_of_it_at_second_hand():
-    # An endpoint was leaving and is back. One instance learns the whole row
-    # after that and so never hears of the removal; another that has the old
-    # row asks it for what is new. It would keep the endpoint out of use for
-    # good. Found by the machine above: write({report-writer: 1}, 3), send to
-    # 1 and 0, deliver(0), wait(11.0), deliver(1), then rounds.
+def test_a_removal_reaches_an_instance_through_a_third_one():
+    # An endpoint was leaving and is in use again. One instance receives the
+    # whole row after that, without the removal; another one, with the old
+    # row, requests its changes there. It would never use the endpoint again.
+    # Found by the machine above: write({report-writer: 1}, 3), send to 1 and
+    # 0, deliver(0), wait(11.0), deliver(1), then rounds.
     owner = table_module.Table("entry-1", 1, _head(1), 0.0)
     late = table_module.Table("entry-2", 1, _head(2), 0.0)
     fresh = table_module.Table("entry-3", 1, _head(3), 0.0)
@@ -215,9 +215,9 @@
     assert ("entry-1", key, None) in changes.items
 
 
-def test_a_restart_with_its_clock_set_back_is_heard():
-    # A machine comes back with a clock in the past. Its new row has a lower
-    # incarnation than the one the others hold, and would be ignored.
+def test_a_restart_with_its_clock_set_back_is_noticed():
+    # A machine restarts with a clock in the past. Its new row has a lower
+    # incarnation than the one that the others hold, and would be ignored.
     one = table_module.Table("entry-1", 1, _head(1), 0.0)
     one.apply(
         table_module.Table("entry-2", 50, _head(2), 0.0).deltas({}, 0.0), 0.0
@@ -229,7 +229,7 @@
     assert row.incarnation == 51
 
 
-def test_a_goodbye_drops_the_row_at_once():
+def test_an_announced_shutdown_drops_the_row_at_once():
     one = table_module.Table("entry-1", 1, _head(1), 0.0)
     two = table_module.Table("entry-2", 1, _head(2), 0.0)
     one.apply(two.deltas(one.digest(), 0.0), 0.0)
