--- a/cardamombarrow/discovery/__init__.py
+++ b/cardamombarrow/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoints there are, and which of them leave, as a list tells."""
+"""Discovery of endpoints, live and leaving, from an external list."""
--- a/cardamombarrow/discovery/base.py
+++ b/cardamombarrow/discovery/base.py
@@ -1,4 +1,4 @@
-"""What a list of endpoints says, and how a kind of list is read."""
+"""Items of an endpoint list, and the interface of the sources of lists."""
 
 import abc
 import dataclasses
@@ -18,12 +18,12 @@
 
 SLOT = "discovery"
 
-NOT_TOLD_SERVICE = ids.ServiceId("")
-NOT_TOLD_DOMAIN = ids.DomainId("")
+UNKNOWN_SERVICE = ids.ServiceId("")
+UNKNOWN_DOMAIN = ids.DomainId("")
 
 
 class ListedState(enum.Enum):
-    """What a list says of an endpoint."""
+    """State of an endpoint in a list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -34,26 +34,27 @@
     """One endpoint in a list.
 
     Attributes:
-        service: Empty where the list does not tell it.
-        domain: Empty where the list does not tell it.
-        slots: Most requests it runs at once; 0 where the list does not tell.
-        spot: Whether the platform may reclaim it.
+        service: Empty if the list does not contain it.
+        domain: Empty if the list does not contain it.
+        slots: Maximum number of concurrent requests; 0 if the list does not
+            contain it.
+        spot: Whether the platform may reclaim the endpoint.
     """
 
     endpoint: ids.EndpointId
     state: ListedState
-    service: ids.ServiceId = NOT_TOLD_SERVICE
-    domain: ids.DomainId = NOT_TOLD_DOMAIN
+    service: ids.ServiceId = UNKNOWN_SERVICE
+    domain: ids.DomainId = UNKNOWN_DOMAIN
     slots: int = 0
     spot: bool = False
 
 
 class Source(abc.ABC):
-    """A kind of list; registered in the slot `SLOT`.
+    """Reads one kind of list; registered in the slot `SLOT`.
 
     Attributes:
-        names_endpoints: Whether the list itself says which endpoints there
-            are. Otherwise the document names them, and the list only takes
+        names_endpoints: Whether the list defines which endpoints exist.
+            Otherwise the document defines them, and the list can only take
             them out of use.
     """
 
@@ -61,18 +62,16 @@
 
     @abc.abstractmethod
     def fetch(self, url: str) -> list[Listed]:
-        """Reads the whole list.
-
-        An item that can't be understood names no endpoint; the others hold.
+        """Reads the whole list; items that can't be parsed are left out.
 
         Raises:
-            errors.EndpointError: It could not be read.
-            ValueError: It is no such list.
+            errors.EndpointError: The list could not be read.
+            ValueError: The response is not a list of this kind.
         """
 
 
 def to_text(items: list[Listed]) -> str:
-    """Returns a list as text, the same for equal lists in any order."""
+    """Serializes a list; the text does not depend on the order of items."""
     raw = sorted(
         [item.endpoint, item.state.value, item.service, item.domain, item.slots]
         for item in items
@@ -81,10 +80,10 @@
 
 
 def from_text(text: str) -> list[Listed]:
-    """Reads what `to_text` wrote.
+    """Parses the output of `to_text`.
 
     Raises:
-        ValueError: It is no such text.
+        ValueError: The text is not a serialized list.
     """
     try:
         return [
--- a/cardamombarrow/discovery/core.py
+++ b/cardamombarrow/discovery/core.py
@@ -1,9 +1,9 @@
-"""Asks for a list of endpoints again and again, or hears it from others.
+"""Keeps the list of endpoints current, by polling or by gossip.
 
-In a domain one entry reads the list and the others hear of it by gossip; an
-entry reads it itself as soon as what it knows has grown old. So the number of
-readings does not grow with the entries, and the loss of the reader, or of the
-gossip, costs no more than the greatest age that is set.
+In each failure domain one entry fetches the list and the others receive it by
+gossip; an entry fetches it itself once its copy is too old. The number of
+fetches therefore does not grow with the number of entries, and losing the
+fetching entry or the gossip delays the list by at most the maximum age.
 """
 
 from collections import abc
@@ -18,27 +18,27 @@
 
 __all__ = ["ListingTimes", "ListingWatch"]
 
-LOOKS_PER_INTERVAL = 6
+CHECKS_PER_INTERVAL = 6
 
-NEWS_S = 0.5
-"""A reading is news to the others if it is younger by this than what they
-know: entries that read at the same moment need not tell each other."""
+MIN_NEWER_S = 0.5
+"""A received list counts as newer if it was fetched this much later than the
+own one: entries that fetch at the same moment need not inform each other."""
 
 STALE_FACTOR = 2.0
-"""Intervals after which a list counts as old where nothing else is set."""
+"""Maximum age of a list in intervals, unless a bound is set."""
 
 BOUND_SHARE = 0.8
-"""Part of the time within which no entry may send to a leaving endpoint any
-more that a list may be old; the rest is for a reading and the way."""
+"""Maximum age of a list as a share of the bound by which all entries have to
+stop sending to a leaving endpoint; the rest is left for fetching and gossip."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ListingTimes:
-    """How often a list is read.
+    """How often a list is fetched.
 
     Attributes:
-        interval_s: Between two readings of a domain's reader.
-        most_age_s: Age at which any entry reads it itself.
+        interval_s: Time between two fetches by a domain's reader.
+        most_age_s: Age at which any entry fetches it itself.
     """
 
     interval_s: float
@@ -46,12 +46,12 @@
 
     @classmethod
     def within(cls, interval_s: float, bound_s: float) -> "ListingTimes":
-        """Returns the times that keep a bound.
+        """Returns times that satisfy a bound.
 
         Args:
-            interval_s: The interval that is wished for.
-            bound_s: Time within which the word that an endpoint leaves must
-                be with all entries; 0 sets none.
+            interval_s: The preferred interval.
+            bound_s: Time within which all entries must know that an endpoint
+                leaves; 0 for no bound.
         """
         if bound_s <= 0.0:
             return cls(interval_s, STALE_FACTOR * interval_s)
@@ -63,7 +63,7 @@
 
 
 class ListingWatch(lifecycle.Part):
-    """Reads a list when it is due and hands on what it says."""
+    """Fetches a list when it is due and passes it to a callback."""
 
     def __init__(
         self,
@@ -74,15 +74,16 @@
         time_source: clock.Clock,
         is_reader: abc.Callable[[], bool] = lambda: True,
     ):
-        """Builds the part.
+        """Creates the watch.
 
         Args:
-            source: The kind of list.
-            url: Where it is; empty for none.
-            times: How often it is read, and how old it may be.
-            on_listing: Takes the list.
+            source: The source of the list.
+            url: URL of the list; empty for none.
+            times: How often the list is fetched, and how old it may be.
+            on_listing: Called with each newer list.
             time_source: The clock.
-            is_reader: Tells whether this entry reads it for its domain.
+            is_reader: Returns whether this entry fetches the list for its
+                domain.
         """
         self._source = source
         self._url = url
@@ -90,77 +91,80 @@
         self._on_listing = on_listing
         self._clock = time_source
         self._is_reader = is_reader
-        self._missed = False
+        self._unavailable = False
         self._lock = threading.Lock()
         self._read_s = float("-inf")
-        self._own: tuple[str, float] | None = None
+        self._last_fetched: tuple[str, float] | None = None
         self._stop = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="listing", daemon=True
         )
 
     def start(self) -> None:
-        """Starts asking, where an address is set."""
+        """Starts polling, if a URL is set."""
         if self._url:
             self._thread.start()
 
     def stop(self) -> None:
-        """Stops asking."""
+        """Stops polling."""
         self._stop.set()
         if self._thread.is_alive():
             self._thread.join()
 
     def own(self) -> tuple[str, float] | None:
-        """Returns the list that this entry itself read last, and when."""
-        return self._own
+        """Returns the list that this entry last fetched itself, and when."""
+        return self._last_fetched
 
     def heard(self, text: str, read_s: float) -> bool:
-        """Takes a list that another entry read; returns whether it is news.
+        """Applies a list that another entry fetched.
 
         Args:
             text: The list; see `base.to_text`.
-            read_s: When it was read, by this entry's clock.
+            read_s: When it was fetched, by this entry's clock.
+
+        Returns:
+            Whether the list is newer than the own one.
         """
         try:
             items = base.from_text(text)
         except ValueError as error:
-            logs.event("list not taken", "ERROR", detail=str(error))
+            logs.event("endpoint list rejected", "ERROR", detail=str(error))
             return False
-        is_news = read_s - self._read_s > NEWS_S
-        self._take(items, read_s)
-        return is_news
+        is_newer = read_s - self._read_s > MIN_NEWER_S
+        self._apply(items, read_s)
+        return is_newer
 
     def look(self) -> None:
-        """Asks once; call it before requests are let in.
+        """Fetches the list once.
 
-        A process that has just started would refuse its first callers for
-        want of any endpoint.
+        Call it before the process accepts requests: without any endpoint it
+        would refuse them.
         """
         if not self._url:
             return
-        asked_s = self._clock.now_s()
+        started_s = self._clock.now_s()
         try:
             items = self._source.fetch(self._url)
-            self._own = base.to_text(items), asked_s
-            self._take(items, asked_s)
-            self._tell(None)
+            self._last_fetched = base.to_text(items), started_s
+            self._apply(items, started_s)
+            self._log_availability(None)
         except (errors.EndpointError, ValueError) as error:
-            self._tell(str(error))
+            self._log_availability(str(error))
         except Exception as error:
-            # Ended, this thread would leave the process with the list of
-            # that moment for good: it would send to endpoints long gone.
-            logs.event("list not taken", "ERROR", detail=repr(error))
+            # If the thread ended here, the list would never be updated again
+            # and requests would go to endpoints that no longer exist.
+            logs.event("endpoint list rejected", "ERROR", detail=repr(error))
 
-    def _take(self, items: list[base.Listed], read_s: float) -> None:
+    def _apply(self, items: list[base.Listed], read_s: float) -> None:
         with self._lock:
-            # What another entry read earlier must not bring back an endpoint
-            # that has been seen to leave since.
+            # A list that another entry fetched earlier must not restore an
+            # endpoint that has since been listed as leaving.
             if read_s > self._read_s:
                 self._read_s = read_s
                 self._on_listing(items)
 
     def _run(self) -> None:
-        pause_s = self._times.interval_s / LOOKS_PER_INTERVAL
+        pause_s = self._times.interval_s / CHECKS_PER_INTERVAL
         while not self._stop.wait(pause_s):
             if self._is_due():
                 self.look()
@@ -169,13 +173,17 @@
         now_s = self._clock.now_s()
         if now_s - self._read_s >= self._times.most_age_s:
             return True
-        own_s = float("-inf") if self._own is None else self._own[1]
+        own_s = (
+            float("-inf")
+            if self._last_fetched is None
+            else self._last_fetched[1]
+        )
         return self._is_reader() and now_s - own_s >= self._times.interval_s
 
-    def _tell(self, problem: str | None) -> None:
-        """Writes a line when the list is lost or back."""
-        if problem is None and self._missed:
-            logs.event("list of endpoints back")
-        elif problem is not None and not self._missed:
-            logs.event("list of endpoints missed", "WARNING", detail=problem)
-        self._missed = problem is not None
+    def _log_availability(self, problem: str | None) -> None:
+        """Logs when the list becomes unavailable or available again."""
+        if problem is None and self._unavailable:
+            logs.event("endpoint list available again")
+        elif problem is not None and not self._unavailable:
+            logs.event("endpoint list unavailable", "WARNING", detail=problem)
+        self._unavailable = problem is not None
--- a/cardamombarrow/discovery/own_list.py
+++ b/cardamombarrow/discovery/own_list.py
@@ -1,8 +1,8 @@
-"""The project's own kind of list: JSON of addresses and states.
+"""The project's own list format: JSON with addresses and states.
 
-The list lags: an endpoint may have left before the list says so, and one that
-is new may not stand in it yet. So the list takes endpoints out of use but
-never puts one into use that the document does not name, and its silence
+The list lags behind: an endpoint may leave before the list shows it, and a
+new endpoint may not be listed yet. The list therefore takes endpoints out of
+use but never adds one that the document does not name, and a failed fetch
 changes nothing.
 """
 
@@ -19,10 +19,10 @@
 
 
 def parse(body: bytes) -> list[base.Listed]:
-    """Reads the list's JSON.
+    """Parses the JSON of a list.
 
     Raises:
-        ValueError: It is not the expected JSON.
+        ValueError: The body does not have the expected format.
     """
     try:
         return [
@@ -37,7 +37,7 @@
 
 @registry.plugin(base.SLOT, "list")
 class OwnList(base.Source):
-    """One document at one address."""
+    """A list that is a single JSON document."""
 
     def fetch(self, url: str) -> list[base.Listed]:
         """Reads the whole list; see `base.Source`."""
--- a/cardamombarrow/discovery/tests/test_core.py
+++ b/cardamombarrow/discovery/tests/test_core.py
@@ -1,4 +1,4 @@
-"""A list of endpoints that is asked for again and again."""
+"""A list of endpoints that is polled and shared by gossip."""
 
 import time
 
@@ -27,37 +27,39 @@
 _LOST = errors.EndpointError(errors.ErrorKind.ENDPOINT_FAILED, "x", sent=True)
 
 
-def _watch(source, take, interval_s, url="http://x", **options):
+def _watch(source, on_listing, interval_s, url="http://x", **options):
     time_source = options.pop("time_source", clock.SystemClock())
     times = core.ListingTimes.within(interval_s, 0.0)
-    return core.ListingWatch(source, url, times, take, time_source, **options)
+    return core.ListingWatch(
+        source, url, times, on_listing, time_source, **options
+    )
 
 
-def test_the_list_is_there_after_the_first_look():
-    taken = []
-    watch = _watch(_Source(_LISTED), taken.append, 60.0)
+def test_the_list_is_available_after_the_first_fetch():
+    applied = []
+    watch = _watch(_Source(_LISTED), applied.append, 60.0)
     watch.look()
-    assert taken == [_LISTED]
+    assert applied == [_LISTED]
 
 
 @pytest.mark.parametrize(
     "failure", [_LOST, ValueError("no list"), KeyError("a bug")]
 )
-def test_a_list_that_is_lost_for_a_while_ends_nothing(failure):
-    # The platform is down, answers rubbish, or its answer meets a fault of
-    # our own. What was known stays, and the next answer is taken.
-    taken = []
+def test_polling_continues_after_a_failed_fetch(failure):
+    # The platform is down, answers with invalid data, or its answer triggers
+    # a bug here. The last list stays in use, and the next answer is applied.
+    applied = []
     source = _Source(failure, failure, _LISTED)
-    watch = _watch(source, taken.append, 0.01)
+    watch = _watch(source, applied.append, 0.01)
     watch.start()
     deadline_s = time.monotonic() + 20
-    while not taken and time.monotonic() < deadline_s:
+    while not applied and time.monotonic() < deadline_s:
         time.sleep(0.01)
     watch.stop()
-    assert taken[0] == _LISTED
+    assert applied[0] == _LISTED
 
 
-def test_without_an_address_nothing_is_asked():
+def test_without_a_url_nothing_is_fetched():
     watch = _watch(_Source(_LOST), None, 0.01, url="")
     watch.look()
     watch.start()
@@ -67,19 +69,19 @@
 _LEAVING = [base.Listed(ids.EndpointId("a:1"), base.ListedState.LEAVING)]
 
 
-def test_a_list_that_was_read_earlier_brings_nothing_back():
-    # An endpoint has been seen to leave. Gossip then brings a list that
-    # another entry read a second before; requests would go there again.
-    taken = []
+def test_a_list_that_was_fetched_earlier_restores_no_endpoint():
+    # An endpoint is listed as leaving. Gossip then delivers a list that
+    # another entry fetched a second before; requests would go there again.
+    applied = []
     time_source = clock.ManualClock(10.0)
     watch = _watch(
-        _Source(_LEAVING), taken.append, 1.0, time_source=time_source
+        _Source(_LEAVING), applied.append, 1.0, time_source=time_source
     )
     watch.look()
     watch.heard(base.to_text(_LISTED), 9.0)
-    assert taken == [_LEAVING]
+    assert applied == [_LEAVING]
     watch.heard(base.to_text(_LISTED), 11.0)
-    assert taken == [_LEAVING, _LISTED]
+    assert applied == [_LEAVING, _LISTED]
 
 
 @pytest.mark.parametrize(
@@ -91,11 +93,11 @@
         (False, 2.1, True),
     ],
 )
-def test_who_hears_the_list_reads_it_only_when_that_grows_old(
+def test_an_entry_that_is_not_the_reader_fetches_only_when_its_list_is_old(
     is_reader, heard_ago_s, due
 ):
-    # All 78 entries reading the list asked the platform more often than it
-    # answers. The reader may also die, and nobody tells the others.
+    # With all 78 entries fetching the list, the platform got more requests
+    # than it answers. If the reader dies, the others get no notice of it.
     time_source = clock.ManualClock(10.0)
     watch = _watch(
         _Source(_LISTED),
@@ -113,11 +115,11 @@
     [
         (1.0, 0.0, core.ListingTimes(1.0, 2.0)),
         (2.0, 5.0, core.ListingTimes(2.0, 4.0)),
-        # A deployment where the word must be everywhere within a second.
+        # A deployment where all entries must know within a second.
         (2.0, 1.0, core.ListingTimes(0.4, 0.8)),
     ],
 )
-def test_a_list_is_never_older_than_the_word_of_a_leaving_endpoint_may_be(
+def test_the_maximum_age_of_a_list_is_below_the_bound_for_leaving_endpoints(
     interval_s, bound_s, expected
 ):
     assert core.ListingTimes.within(interval_s, bound_s) == expected
@@ -126,8 +128,9 @@
 @pytest.mark.parametrize(
     ("read_s", "is_news"), [(9.0, False), (10.2, False), (12.0, True)]
 )
-def test_a_reading_is_news_once(read_s, is_news):
-    # What is passed on at once and is no news would go round for ever.
+def test_a_fetched_list_is_newer_only_once(read_s, is_news):
+    # A list that is passed on although it is not newer would circulate
+    # between the entries forever.
     watch = _watch(
         _Source(_LISTED),
         lambda items: None,
@@ -139,7 +142,7 @@
     assert watch.heard(base.to_text(_LISTED), read_s) is False
 
 
-def test_a_list_survives_its_way_as_text():
+def test_a_list_survives_serialization():
     listed = [
         base.Listed(
             ids.EndpointId("b:2#i-1"),
@@ -156,6 +159,6 @@
 
 
 @pytest.mark.parametrize("text", ["", "7", "[7]", '[["a", "odd", "", "", 0]]'])
-def test_a_text_that_is_no_list_is_refused(text):
+def test_a_text_that_is_not_a_list_is_rejected(text):
     with pytest.raises(ValueError):
         base.from_text(text)
