--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -132,7 +132,7 @@
     for name, address in zip(names, addresses, strict=True):
         node = _CountingNode(
             loop,
-            table_module.Table(name, 1, rows.Head(address, 1), 0.0),
+            table_module.Table(name, 1, rows.RowHeader(address, 1), 0.0),
             gossip_node.GossipSettings(
                 ids.DomainId("nuwara-a"),
                 address,
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -266,7 +266,7 @@
         table = table_module.Table(
             self._instance,
             time.time_ns() // 1_000_000,
-            rows.Head(address, self._documents.revision),
+            rows.RowHeader(address, self._documents.revision),
             self._clock.now_s(),
         )
         self.membership.attach(table, poller)
--- a/cardamombarrow/gossip/leaving.py
+++ b/cardamombarrow/gossip/leaving.py
@@ -17,7 +17,7 @@
     def __init__(self):
         self._sources: dict[ids.EndpointId, set[str]] = {}
 
-    def tell(
+    def record(
         self, endpoint: ids.EndpointId, source: str, leaving: bool
     ) -> bool | None:
         """Updates the state that one source reports for an endpoint.
@@ -40,7 +40,7 @@
         """Removes a source; returns the endpoints that no longer leave."""
         restored = []
         for endpoint in list(self._sources):
-            if self.tell(endpoint, source, leaving=False) is False:
+            if self.record(endpoint, source, leaving=False) is False:
                 restored.append(endpoint)
         return restored
 
@@ -48,7 +48,7 @@
         """Returns the endpoints that any source reports as leaving."""
         return list(self._sources)
 
-    def said_by(self, sources: frozenset[str]) -> list[ids.EndpointId]:
+    def reported_by(self, sources: frozenset[str]) -> list[ids.EndpointId]:
         """Returns the endpoints that one of these sources reports."""
         return [
             endpoint
--- a/cardamombarrow/gossip/rows.py
+++ b/cardamombarrow/gossip/rows.py
@@ -10,13 +10,13 @@
 __all__ = [
     "Changes",
     "Digest",
-    "Head",
     "InFlight",
     "Item",
     "ItemKind",
     "Key",
-    "ListingMark",
+    "ListingStamp",
     "RowDelta",
+    "RowHeader",
     "Value",
     "endpoint_hash",
 ]
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ListingMark:
+class ListingStamp:
     """Identifies a fetched list of endpoints by hash and time.
 
     A list rarely changes and is fetched often. Its text is sent only when it
@@ -94,7 +94,7 @@
     | messages.LoadReport
     | messages.RateLimit
     | InFlight
-    | ListingMark
+    | ListingStamp
 )
 
 
@@ -125,7 +125,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Head:
+class RowHeader:
     """Header of a row; part of each delta.
 
     Attributes:
@@ -161,7 +161,7 @@
     version: int
     since: int
     age_s: float
-    head: Head
+    head: RowHeader
     items: list[tuple[Key, Value | None]]
 
 
--- a/cardamombarrow/gossip/table.py
+++ b/cardamombarrow/gossip/table.py
@@ -43,7 +43,7 @@
     instance: ids.InstanceId
     incarnation: int
     version: int
-    head: rows.Head
+    head: rows.RowHeader
     refreshed_s: float
     items: dict[rows.Key, rows.Item] = dataclasses.field(default_factory=dict)
     floor: int = 0
@@ -104,7 +104,7 @@
         self,
         instance: ids.InstanceId,
         incarnation: int,
-        head: rows.Head,
+        head: rows.RowHeader,
         now_s: float,
     ):
         self.own = Row(instance, incarnation, 1, head, now_s)
@@ -123,7 +123,7 @@
 
     def update(
         self,
-        head: rows.Head,
+        head: rows.RowHeader,
         items: dict[rows.Key, rows.Value],
         now_s: float,
     ) -> set[rows.Key]:
--- a/cardamombarrow/gossip/tests/test_leaving.py
+++ b/cardamombarrow/gossip/tests/test_leaving.py
@@ -8,20 +8,20 @@
     # The endpoint's own report says that it leaves; the platform's list lags
     # and still shows it as live. Requests sent to it would be cut off.
     view = leaving.LeavingView()
-    assert view.tell("10.0.0.1:8000", "report", True) is True
-    assert view.tell("10.0.0.1:8000", "list", False) is None
+    assert view.record("10.0.0.1:8000", "report", True) is True
+    assert view.record("10.0.0.1:8000", "list", False) is None
     assert view.leaving() == ["10.0.0.1:8000"]
-    assert view.tell("10.0.0.1:8000", "report", False) is False
+    assert view.record("10.0.0.1:8000", "report", False) is False
     assert view.leaving() == []
 
 
 def test_reports_of_a_dead_instance_are_discarded():
     view = leaving.LeavingView()
-    view.tell("a", "instance entry-2", True)
-    view.tell("b", "instance entry-2", True)
-    view.tell("b", "list", True)
+    view.record("a", "instance entry-2", True)
+    view.record("b", "instance entry-2", True)
+    view.record("b", "list", True)
     assert view.forget_source("instance entry-2") == ["a"]
-    assert view.said_by(frozenset(("list",))) == ["b"]
+    assert view.reported_by(frozenset(("list",))) == ["b"]
 
 
 def test_every_endpoint_has_two_pollers_and_few_move():
--- a/cardamombarrow/gossip/tests/test_table_fuzz.py
+++ b/cardamombarrow/gossip/tests/test_table_fuzz.py
@@ -16,7 +16,7 @@
 
 
 def _head(number):
-    return rows.Head(f"10.0.0.{number}:7000", 0)
+    return rows.RowHeader(f"10.0.0.{number}:7000", 0)
 
 
 class GossipMachine(stateful.RuleBasedStateMachine):
@@ -233,6 +233,6 @@
     one = table_module.Table("entry-1", 1, _head(1), 0.0)
     two = table_module.Table("entry-2", 1, _head(2), 0.0)
     one.apply(two.deltas(one.digest(), 0.0), 0.0)
-    two.update(rows.Head("10.0.0.2:7000", 0, left=True), {}, 0.5)
+    two.update(rows.RowHeader("10.0.0.2:7000", 0, left=True), {}, 0.5)
     assert one.apply(two.deltas(one.digest(), 0.5), 0.5).left == ["entry-2"]
     assert one.others() == []
--- a/cardamombarrow/peers/gossip_codec.py
+++ b/cardamombarrow/peers/gossip_codec.py
@@ -116,7 +116,7 @@
 def _put_listing(
     wire: gossip_pb2.GossipRow,
     name: str,
-    value: rows.ListingMark | None,
+    value: rows.ListingStamp | None,
     now_s: float,
 ) -> None:
     if value is not None:
@@ -165,7 +165,7 @@
         version=wire.version,
         since=wire.since,
         age_s=wire.age_ms / _MS,
-        head=rows.Head(
+        head=rows.RowHeader(
             wire.address, ids.Revision(wire.applied_revision), wire.left
         ),
         items=list(_items(wire, now_s)),
@@ -194,7 +194,7 @@
         read_s = now_s - wire.listing_age_ms / _MS
         yield (
             (kind.LISTING, ""),
-            rows.ListingMark(wire.listing_hash, read_s),
+            rows.ListingStamp(wire.listing_hash, read_s),
         )
     yield from _rate_limits(wire, now_s)
     yield from _reports(wire, now_s)
--- a/cardamombarrow/peers/gossip_node.py
+++ b/cardamombarrow/peers/gossip_node.py
@@ -197,7 +197,7 @@
 
     async def _round(self, now_s: float) -> None:
         revision = ids.Revision(self._hooks.document().revision)
-        head = rows.Head(self._settings.address, revision, self._left)
+        head = rows.RowHeader(self._settings.address, revision, self._left)
         self.table.update(head, self._hooks.collect(now_s), now_s)
         gone = self.table.expire(now_s)
         self._tell_members(gone)
--- a/cardamombarrow/peers/membership.py
+++ b/cardamombarrow/peers/membership.py
@@ -187,7 +187,7 @@
         self, endpoint: ids.EndpointId, source: str, leaving: bool
     ) -> None:
         with self._lock:
-            changed = self._leaving.tell(endpoint, source, leaving)
+            changed = self._leaving.record(endpoint, source, leaving)
         if changed is not None:
             logs.decision(
                 "leaving" if changed else "back in use",
@@ -208,7 +208,9 @@
         with self._lock:
             counts = tuple(own.in_flight.get(each, 0) for each in self._listed)
             items[kind.IN_FLIGHT, ""] = rows.InFlight(self._list_hash, counts)
-            self._told_leaving = frozenset(self._leaving.said_by(_FIRST_HAND))
+            self._told_leaving = frozenset(
+                self._leaving.reported_by(_FIRST_HAND)
+            )
             for endpoint in self._told_leaving:
                 items[kind.LEAVING, endpoint] = True
             for endpoint, report in self._reports.own.items():
@@ -226,7 +228,7 @@
             return
         text, self._told_read_s = own_list
         text_hash = rows.endpoint_hash(ids.EndpointId(text))
-        mark = rows.ListingMark(text_hash, self._told_read_s)
+        mark = rows.ListingStamp(text_hash, self._told_read_s)
         items[rows.ItemKind.LISTING, ""] = mark
         items[rows.ItemKind.LISTED, ""] = text
 
@@ -236,7 +238,7 @@
             return False
         return own_list[1] > self._told_read_s
 
-    def _take_listing(self, mark: rows.ListingMark) -> bool:
+    def _take_listing(self, mark: rows.ListingStamp) -> bool:
         """Takes that another entry read a list, if its text is known here.
 
         Returns:
@@ -276,7 +278,7 @@
         if self._has_new_listing():
             return True
         with self._lock:
-            leaving = self._leaving.said_by(_FIRST_HAND)
+            leaving = self._leaving.reported_by(_FIRST_HAND)
             if not self._told_leaving.issuperset(leaving):
                 return True
             known = self._quarantine.keys()
--- a/cardamombarrow/peers/tests/test_gossip_node.py
+++ b/cardamombarrow/peers/tests/test_gossip_node.py
@@ -36,7 +36,7 @@
             on_document=self._on_document,
         )
         time_source = clock.SystemClock()
-        head = rows.Head(address, 1)
+        head = rows.RowHeader(address, 1)
         self.node = gossip_node.GossipNode(
             self.loop,
             table_module.Table(name, 1, head, time_source.now_s()),
--- a/cardamombarrow/peers/tests/test_membership.py
+++ b/cardamombarrow/peers/tests/test_membership.py
@@ -44,7 +44,7 @@
             ids.InstanceId(name), ids.DomainId("d"), {}, _Broker(), time_source
         )
         self.table = table_module.Table(
-            ids.InstanceId(name), 1, rows.Head("a", 1), time_source.now_s()
+            ids.InstanceId(name), 1, rows.RowHeader("a", 1), time_source.now_s()
         )
         self.watch = discovery.ListingWatch(
             _Source(),
@@ -61,7 +61,7 @@
     def tell(self, other):
         """Tells another entry; returns whether that one passes it on."""
         now_s = self._clock.now_s()
-        head = rows.Head("a", 1)
+        head = rows.RowHeader("a", 1)
         self.table.update(head, self.membership.collect(now_s), now_s)
         deltas = self.table.deltas(other.table.digest(), now_s)
         changes = other.table.apply(deltas, now_s)
--- a/cardamombarrow/peers/tests/test_rate_limit_news.py
+++ b/cardamombarrow/peers/tests/test_rate_limit_news.py
@@ -36,7 +36,7 @@
 def _sent(items, now_s):
     """Sends a row's items to an instance whose clock is 1,000 s ahead."""
     delta = rows.RowDelta(
-        ids.InstanceId("e"), 1, 2, 1, 0.0, rows.Head("a", 1), items
+        ids.InstanceId("e"), 1, 2, 1, 0.0, rows.RowHeader("a", 1), items
     )
     wire = gossip_codec.delta_to_wire(delta, now_s)
     parsed = gossip_pb2.GossipRow.FromString(wire.SerializeToString())
