--- a/cardamombarrow/control/core.py
+++ b/cardamombarrow/control/core.py
@@ -52,7 +52,7 @@
 METERING_TIMEOUT_S = 2.0
 
 DUTY_MODULES = (
-    "cardamombarrow.discovery.own_list",
+    "cardamombarrow.discovery.json_list",
     "cardamombarrow.duties.http_gateway",
 )
 """Modules whose import registers the project's own list and calls."""
--- a/cardamombarrow/discovery/base.py
+++ b/cardamombarrow/discovery/base.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "SLOT",
-    "Listed",
+    "ListedEndpoint",
     "ListedState",
     "Source",
     "from_text",
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Listed:
+class ListedEndpoint:
     """One endpoint in a list.
 
     Attributes:
@@ -61,7 +61,7 @@
     names_endpoints = False
 
     @abc.abstractmethod
-    def fetch(self, url: str) -> list[Listed]:
+    def fetch(self, url: str) -> list[ListedEndpoint]:
         """Reads the whole list; items that can't be parsed are left out.
 
         Raises:
@@ -70,7 +70,7 @@
         """
 
 
-def to_text(items: list[Listed]) -> str:
+def to_text(items: list[ListedEndpoint]) -> str:
     """Serializes a list; the text does not depend on the order of items."""
     raw = sorted(
         [item.endpoint, item.state.value, item.service, item.domain, item.slots]
@@ -79,7 +79,7 @@
     return json.dumps(raw, separators=(",", ":"))
 
 
-def from_text(text: str) -> list[Listed]:
+def from_text(text: str) -> list[ListedEndpoint]:
     """Parses the output of `to_text`.
 
     Raises:
@@ -87,7 +87,7 @@
     """
     try:
         return [
-            Listed(
+            ListedEndpoint(
                 ids.EndpointId(endpoint),
                 ListedState(state),
                 ids.ServiceId(service),
--- a/cardamombarrow/discovery/core.py
+++ b/cardamombarrow/discovery/core.py
@@ -16,7 +16,7 @@
 from cardamombarrow.kernel import lifecycle
 from cardamombarrow.kernel import logs
 
-__all__ = ["ListingTimes", "ListingWatch"]
+__all__ = ["ListingSchedule", "ListingWatch"]
 
 CHECKS_PER_INTERVAL = 6
 
@@ -33,20 +33,20 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ListingTimes:
+class ListingSchedule:
     """How often a list is fetched.
 
     Attributes:
         interval_s: Time between two fetches by a domain's reader.
-        most_age_s: Age at which any entry fetches it itself.
+        max_age_s: Age at which any entry fetches it itself.
     """
 
     interval_s: float
-    most_age_s: float
+    max_age_s: float
 
     @classmethod
-    def within(cls, interval_s: float, bound_s: float) -> "ListingTimes":
-        """Returns times that satisfy a bound.
+    def within(cls, interval_s: float, bound_s: float) -> "ListingSchedule":
+        """Returns a schedule that satisfies a bound.
 
         Args:
             interval_s: The preferred interval.
@@ -55,11 +55,11 @@
         """
         if bound_s <= 0.0:
             return cls(interval_s, STALE_FACTOR * interval_s)
-        most_age_s = BOUND_SHARE * bound_s
-        return cls(min(interval_s, most_age_s / STALE_FACTOR), most_age_s)
+        max_age_s = BOUND_SHARE * bound_s
+        return cls(min(interval_s, max_age_s / STALE_FACTOR), max_age_s)
 
 
-OnListing = abc.Callable[[list[base.Listed]], None]
+OnListing = abc.Callable[[list[base.ListedEndpoint]], None]
 
 
 class ListingWatch(lifecycle.Part):
@@ -69,7 +69,7 @@
         self,
         source: base.Source,
         url: str,
-        times: ListingTimes,
+        schedule: ListingSchedule,
         on_listing: OnListing,
         time_source: clock.Clock,
         is_reader: abc.Callable[[], bool] = lambda: True,
@@ -79,7 +79,7 @@
         Args:
             source: The source of the list.
             url: URL of the list; empty for none.
-            times: How often the list is fetched, and how old it may be.
+            schedule: How often the list is fetched, and how old it may be.
             on_listing: Called with each newer list.
             time_source: The clock.
             is_reader: Returns whether this entry fetches the list for its
@@ -87,7 +87,7 @@
         """
         self._source = source
         self._url = url
-        self._times = times
+        self._schedule = schedule
         self._on_listing = on_listing
         self._clock = time_source
         self._is_reader = is_reader
@@ -111,11 +111,11 @@
         if self._thread.is_alive():
             self._thread.join()
 
-    def own(self) -> tuple[str, float] | None:
+    def last_fetched(self) -> tuple[str, float] | None:
         """Returns the list that this entry last fetched itself, and when."""
         return self._last_fetched
 
-    def heard(self, text: str, read_s: float) -> bool:
+    def receive(self, text: str, read_s: float) -> bool:
         """Applies a list that another entry fetched.
 
         Args:
@@ -134,7 +134,7 @@
         self._apply(items, read_s)
         return is_newer
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Fetches the list once.
 
         Call it before the process accepts requests: without any endpoint it
@@ -155,7 +155,7 @@
             # and requests would go to endpoints that no longer exist.
             logs.event("endpoint list rejected", "ERROR", detail=repr(error))
 
-    def _apply(self, items: list[base.Listed], read_s: float) -> None:
+    def _apply(self, items: list[base.ListedEndpoint], read_s: float) -> None:
         with self._lock:
             # A list that another entry fetched earlier must not restore an
             # endpoint that has since been listed as leaving.
@@ -164,21 +164,21 @@
                 self._on_listing(items)
 
     def _run(self) -> None:
-        pause_s = self._times.interval_s / CHECKS_PER_INTERVAL
+        pause_s = self._schedule.interval_s / CHECKS_PER_INTERVAL
         while not self._stop.wait(pause_s):
             if self._is_due():
-                self.look()
+                self.refresh()
 
     def _is_due(self) -> bool:
         now_s = self._clock.now_s()
-        if now_s - self._read_s >= self._times.most_age_s:
+        if now_s - self._read_s >= self._schedule.max_age_s:
             return True
         own_s = (
             float("-inf")
             if self._last_fetched is None
             else self._last_fetched[1]
         )
-        return self._is_reader() and now_s - own_s >= self._times.interval_s
+        return self._is_reader() and now_s - own_s >= self._schedule.interval_s
 
     def _log_availability(self, problem: str | None) -> None:
         """Logs when the list becomes unavailable or available again."""
--- a/cardamombarrow/discovery/own_list.py
+++ b/cardamombarrow/discovery/json_list.py
@@ -13,12 +13,12 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import registry
 
-__all__ = ["OwnList", "parse"]
+__all__ = ["JsonList", "parse"]
 
 FETCH_TIMEOUT_S = 2.0
 
 
-def parse(body: bytes) -> list[base.Listed]:
+def parse(body: bytes) -> list[base.ListedEndpoint]:
     """Parses the JSON of a list.
 
     Raises:
@@ -26,7 +26,7 @@
     """
     try:
         return [
-            base.Listed(
+            base.ListedEndpoint(
                 ids.EndpointId(item["address"]), base.ListedState(item["state"])
             )
             for item in json.loads(body)["endpoints"]
@@ -36,9 +36,9 @@
 
 
 @registry.plugin(base.SLOT, "list")
-class OwnList(base.Source):
+class JsonList(base.Source):
     """A list that is a single JSON document."""
 
-    def fetch(self, url: str) -> list[base.Listed]:
+    def fetch(self, url: str) -> list[base.ListedEndpoint]:
         """Reads the whole list; see `base.Source`."""
         return parse(http_get.fetch(url, timeout_s=FETCH_TIMEOUT_S).body)
--- a/cardamombarrow/discovery/tests/test_core.py
+++ b/cardamombarrow/discovery/tests/test_core.py
@@ -23,13 +23,13 @@
         return answer
 
 
-_LISTED = [base.Listed(ids.EndpointId("a:1"), base.ListedState.LIVE)]
+_LISTED = [base.ListedEndpoint(ids.EndpointId("a:1"), base.ListedState.LIVE)]
 _LOST = errors.EndpointError(errors.ErrorKind.ENDPOINT_FAILED, "x", sent=True)
 
 
 def _watch(source, on_listing, interval_s, url="http://x", **options):
     time_source = options.pop("time_source", clock.SystemClock())
-    times = core.ListingTimes.within(interval_s, 0.0)
+    times = core.ListingSchedule.within(interval_s, 0.0)
     return core.ListingWatch(
         source, url, times, on_listing, time_source, **options
     )
@@ -38,7 +38,7 @@
 def test_the_list_is_available_after_the_first_fetch():
     applied = []
     watch = _watch(_Source(_LISTED), applied.append, 60.0)
-    watch.look()
+    watch.refresh()
     assert applied == [_LISTED]
 
 
@@ -61,12 +61,14 @@
 
 def test_without_a_url_nothing_is_fetched():
     watch = _watch(_Source(_LOST), None, 0.01, url="")
-    watch.look()
+    watch.refresh()
     watch.start()
     watch.stop()
 
 
-_LEAVING = [base.Listed(ids.EndpointId("a:1"), base.ListedState.LEAVING)]
+_LEAVING = [
+    base.ListedEndpoint(ids.EndpointId("a:1"), base.ListedState.LEAVING)
+]
 
 
 def test_a_list_that_was_fetched_earlier_restores_no_endpoint():
@@ -77,10 +79,10 @@
     watch = _watch(
         _Source(_LEAVING), applied.append, 1.0, time_source=time_source
     )
-    watch.look()
-    watch.heard(base.to_text(_LISTED), 9.0)
+    watch.refresh()
+    watch.receive(base.to_text(_LISTED), 9.0)
     assert applied == [_LEAVING]
-    watch.heard(base.to_text(_LISTED), 11.0)
+    watch.receive(base.to_text(_LISTED), 11.0)
     assert applied == [_LEAVING, _LISTED]
 
 
@@ -106,23 +108,23 @@
         time_source=time_source,
         is_reader=lambda: is_reader,
     )
-    watch.heard(base.to_text(_LISTED), 10.0 - heard_ago_s)
+    watch.receive(base.to_text(_LISTED), 10.0 - heard_ago_s)
     assert watch._is_due() is due
 
 
 @pytest.mark.parametrize(
     ("interval_s", "bound_s", "expected"),
     [
-        (1.0, 0.0, core.ListingTimes(1.0, 2.0)),
-        (2.0, 5.0, core.ListingTimes(2.0, 4.0)),
+        (1.0, 0.0, core.ListingSchedule(1.0, 2.0)),
+        (2.0, 5.0, core.ListingSchedule(2.0, 4.0)),
         # A deployment where all entries must know within a second.
-        (2.0, 1.0, core.ListingTimes(0.4, 0.8)),
+        (2.0, 1.0, core.ListingSchedule(0.4, 0.8)),
     ],
 )
 def test_the_maximum_age_of_a_list_is_below_the_bound_for_leaving_endpoints(
     interval_s, bound_s, expected
 ):
-    assert core.ListingTimes.within(interval_s, bound_s) == expected
+    assert core.ListingSchedule.within(interval_s, bound_s) == expected
 
 
 @pytest.mark.parametrize(
@@ -137,14 +139,14 @@
         1.0,
         time_source=clock.ManualClock(12.0),
     )
-    watch.heard(base.to_text(_LISTED), 10.0)
-    assert watch.heard(base.to_text(_LISTED), read_s) is is_news
-    assert watch.heard(base.to_text(_LISTED), read_s) is False
+    watch.receive(base.to_text(_LISTED), 10.0)
+    assert watch.receive(base.to_text(_LISTED), read_s) is is_news
+    assert watch.receive(base.to_text(_LISTED), read_s) is False
 
 
 def test_a_list_survives_serialization():
     listed = [
-        base.Listed(
+        base.ListedEndpoint(
             ids.EndpointId("b:2#i-1"),
             base.ListedState.LEAVING,
             ids.ServiceId("s"),
--- a/cardamombarrow/duties/ordering.py
+++ b/cardamombarrow/duties/ordering.py
@@ -83,7 +83,7 @@
 
 
 def count_endpoints(
-    items: abc.Iterable[discovery.Listed], service: ids.ServiceId
+    items: abc.Iterable[discovery.ListedEndpoint], service: ids.ServiceId
 ) -> dict[ids.DomainId, Fleet]:
     """Counts the endpoints of a service in a list, by failure domain."""
     counts: dict[ids.DomainId, collections.Counter[bool]] = {}
--- a/cardamombarrow/duties/runner.py
+++ b/cardamombarrow/duties/runner.py
@@ -73,7 +73,7 @@
     metering: abc.Callable[[], MeteringView | None]
     state: abc.Callable[[], machine.DutiesState]
     document: abc.Callable[[], schema.Document | None]
-    listing: abc.Callable[[], list[discovery.Listed]]
+    listing: abc.Callable[[], list[discovery.ListedEndpoint]]
 
 
 class DutiesRunner(lifecycle.Part):
@@ -101,7 +101,7 @@
         self._reported_s: dict[int, float] = {}
         self._ordering = ordering_module.Ordering()
         self._scalers: dict[ids.ServiceId, scaling.Scaler] = {}
-        self._listed: list[discovery.Listed] = []
+        self._listed: list[discovery.ListedEndpoint] = []
         self._listed_s = float("-inf")
         self._called_s = float("-inf")
         self._stop = threading.Event()
--- a/cardamombarrow/duties/tests/test_ordering.py
+++ b/cardamombarrow/duties/tests/test_ordering.py
@@ -205,7 +205,7 @@
 
 def test_only_living_endpoints_of_the_service_are_counted():
     def listed(service, state, spot):
-        return discovery.Listed(
+        return discovery.ListedEndpoint(
             ids.EndpointId("10.0.0.1:1"),
             state,
             ids.ServiceId(service),
--- a/cardamombarrow/duties/tests/test_runner.py
+++ b/cardamombarrow/duties/tests/test_runner.py
@@ -131,7 +131,7 @@
                 errors.ErrorKind.ENDPOINT_FAILED, "no answer", sent=True
             )
         return [
-            discovery.Listed(
+            discovery.ListedEndpoint(
                 ids.EndpointId(f"10.0.0.{number}:1"),
                 discovery.ListedState.LIVE,
                 _SERVICE.service,
--- a/cardamombarrow/entry/core.py
+++ b/cardamombarrow/entry/core.py
@@ -39,7 +39,7 @@
 __all__ = ["ENDPOINT_MODULES", "OPENAI", "run"]
 
 ENDPOINT_MODULES = (
-    "cardamombarrow.discovery.own_list",
+    "cardamombarrow.discovery.json_list",
     "cardamombarrow.endpoints.engine",
     "cardamombarrow.endpoints.plain",
 )
@@ -210,7 +210,7 @@
     watch = discovery_core.ListingWatch(
         source,
         settings.platform.listing_url,
-        discovery_core.ListingTimes.within(
+        discovery_core.ListingSchedule.within(
             settings.platform.listing_interval_s,
             settings.platform.leaving_within_ms / 1_000,
         ),
@@ -227,7 +227,7 @@
     readiness.require(
         lambda: None if peering.lease.holds else "the document is in doubt"
     )
-    watch.look()
+    watch.refresh()
     starting.serve(
         _app(settings, documents, relaying, readiness, peering.lease)
     )
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -349,7 +349,7 @@
             self.control.report_now()
 
     def on_listing(
-        self, items: list[discovery.Listed], names_endpoints: bool
+        self, items: list[discovery.ListedEndpoint], names_endpoints: bool
     ) -> None:
         """Takes the list of endpoints.
 
--- a/cardamombarrow/peers/membership.py
+++ b/cardamombarrow/peers/membership.py
@@ -223,7 +223,7 @@
         return items
 
     def _collect_listing(self, items: dict[rows.Key, rows.Value]) -> None:
-        own_list = self._listing.own() if self._listing else None
+        own_list = self._listing.last_fetched() if self._listing else None
         if own_list is None:
             return
         text, self._told_read_s = own_list
@@ -233,7 +233,7 @@
         items[rows.ItemKind.LISTED, ""] = text
 
     def _has_new_listing(self) -> bool:
-        own_list = self._listing.own() if self._listing else None
+        own_list = self._listing.last_fetched() if self._listing else None
         if own_list is None:
             return False
         return own_list[1] > self._told_read_s
@@ -247,7 +247,7 @@
         text = self._listed_texts.get(mark.text_hash)
         if text is None or self._listing is None:
             return False
-        return self._listing.heard(text, mark.read_s)
+        return self._listing.receive(text, mark.read_s)
 
     def _keep_listed(self, text: str) -> None:
         text_hash = rows.endpoint_hash(ids.EndpointId(text))
--- a/cardamombarrow/peers/tests/test_membership.py
+++ b/cardamombarrow/peers/tests/test_membership.py
@@ -12,7 +12,7 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.peers import membership as membership_module
 
-_LISTED = [base.Listed(ids.EndpointId("a:1"), base.ListedState.LIVE)]
+_LISTED = [base.ListedEndpoint(ids.EndpointId("a:1"), base.ListedState.LIVE)]
 
 
 class _Source(base.Source):
@@ -49,7 +49,7 @@
         self.watch = discovery.ListingWatch(
             _Source(),
             "http://x",
-            discovery.ListingTimes.within(2.0, 5.0),
+            discovery.ListingSchedule.within(2.0, 5.0),
             lambda items: None,
             time_source,
         )
@@ -82,7 +82,7 @@
     time_source, (reader, one, two) = entries
     for step in range(3):
         time_source.advance(2.0)
-        reader.watch.look()
+        reader.watch.refresh()
         assert reader.membership.urgent(), step
         assert reader.tell(one)
         assert not reader.membership.urgent()
@@ -92,7 +92,7 @@
 
 def test_a_reading_that_is_known_is_not_passed_on(entries):
     time_source, (reader, one, two) = entries
-    reader.watch.look()
+    reader.watch.refresh()
     reader.tell(one)
     reader.tell(two)
     time_source.advance(1.0)
--- a/cardamombarrow/platform/listing.py
+++ b/cardamombarrow/platform/listing.py
@@ -23,7 +23,7 @@
 }
 
 
-def read_page(body: bytes) -> tuple[list[base.Listed], str]:
+def read_page(body: bytes) -> tuple[list[base.ListedEndpoint], str]:
     """Reads one page; an entry that can't be understood names no server.
 
     Returns:
@@ -40,7 +40,7 @@
     return [each for each in listed if each is not None], token or ""
 
 
-def _entry(item: typing.Any) -> base.Listed | None:
+def _entry(item: typing.Any) -> base.ListedEndpoint | None:
     if not isinstance(item, dict):
         return None
     names = [item.get(key) for key in ("id", "address", "service", "zone")]
@@ -54,7 +54,7 @@
     if not host or not port.isdigit():
         return None
     slots = item.get("slots")
-    return base.Listed(
+    return base.ListedEndpoint(
         ids.endpoint_id(address, identity),
         _STATES[state],
         ids.ServiceId(service),
@@ -70,9 +70,9 @@
 
     names_endpoints = True
 
-    def fetch(self, url: str) -> list[base.Listed]:
+    def fetch(self, url: str) -> list[base.ListedEndpoint]:
         """Reads all pages; see `base.Source`."""
-        listed: list[base.Listed] = []
+        listed: list[base.ListedEndpoint] = []
         token = ""
         for _ in range(MOST_PAGES):
             query = f"?{parse.urlencode({'pageToken': token})}" if token else ""
--- a/cardamombarrow/platform/tests/test_listing.py
+++ b/cardamombarrow/platform/tests/test_listing.py
@@ -26,7 +26,7 @@
     listed, token = listing.read_page(_page(_ENTRY, token="p-50"))
     assert token == "p-50"
     assert listed == [
-        base.Listed(
+        base.ListedEndpoint(
             ids.EndpointId("10.0.0.9:8080#i-7f"),
             base.ListedState.LIVE,
             ids.ServiceId("letters"),
