--- a/cardamombarrow/peers/__init__.py
+++ b/cardamombarrow/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the system's own processes, over grpclib."""
+"""Communication between the system's own processes, over grpclib."""
--- a/cardamombarrow/peers/gossip_codec.py
+++ b/cardamombarrow/peers/gossip_codec.py
@@ -1,7 +1,7 @@
-"""Between the gossip table's messages and protobuf.
+"""Conversion between the gossip table's messages and protobuf.
 
-Times go over the wire as ages or as time left: the clocks of two instances
-have nothing in common.
+Times are sent as ages or as remaining times, because the clocks of two
+instances are independent.
 """
 
 from collections import abc
@@ -21,7 +21,7 @@
 _MS = 1_000
 
 _ENDED = -1.0
-"""Stands for a rate limit that has ended."""
+"""Wire value of a rate limit that has ended."""
 
 
 def digest_to_wire(digest: rows.Digest) -> list[gossip_pb2.GossipDigestRow]:
@@ -52,7 +52,7 @@
         version=delta.version,
         since=delta.since,
         age_ms=int(delta.age_s * _MS),
-        # It never changes within an incarnation.
+        # The address never changes within an incarnation.
         address=delta.head.address if delta.since == 0 else "",
         applied_revision=delta.head.applied_revision,
         left=delta.head.left,
--- a/cardamombarrow/peers/gossip_node.py
+++ b/cardamombarrow/peers/gossip_node.py
@@ -1,8 +1,8 @@
-"""Carries gossip between the entries of a failure domain.
+"""Transports gossip between the entries of a failure domain.
 
-One task runs a round each second: it raises the version of the own row, drops
-instances not heard of, and exchanges rows with a random other, over a standing
-stream. News that can't wait starts a round at once.
+One task runs a round every second: it increments the version of the own row,
+drops instances that timed out, and exchanges rows with a random partner over a
+long-lived stream. Urgent changes start a round at once.
 """
 
 import asyncio
@@ -33,40 +33,47 @@
 """Time between two rounds."""
 
 FAN_OUT = 1
-"""Partners in one round; docs/gossip.md has the figures for two."""
+"""Partners in one round; see docs/gossip.md for measurements with two."""
 
 URGENT_FAN_OUT = 3
-"""Partners in a round that is made at once: each instance that hears the news
-tells this many, so that hardly one is left out."""
+"""Partners in an urgent round: each instance that receives the changes passes
+them on to this many others, so that hardly any instance is missed."""
 
 EXCHANGE_TIMEOUT_S = 1.5
-"""An exchange that takes longer has met a dead or silent link."""
+"""An exchange that takes longer means a dead or silent link."""
 
-URGENT_GAP_S = 0.05
-"""Least time between two rounds, so that a storm of news is sent together."""
+MIN_ROUND_GAP_S = 0.05
+"""Minimum time between two rounds; batches bursts of urgent changes."""
 
-NEWS_LOOK_S = 0.2
-"""Time between two looks for news that can't wait."""
+URGENT_CHECK_S = 0.2
+"""Time between two checks for urgent changes."""
 
 SEED_INTERVAL_S = 5.0
-"""Time between two tries of a seed that no live instance is known at: after a
-cut, neither side knows the other any more."""
+"""Time between two connection attempts to seeds at which no live instance is
+known: after a partition, neither side knows the other any more."""
 
-IDLE_S = 600.0
-"""A stream that another instance does not use for this long is ended: the
-other end may have vanished without a word, and its connections would pile up.
-At 36 instances a stream is used every 35 s on average."""
+IDLE_TIMEOUT_S = 600.0
+"""An incoming stream that is idle for this long is closed: the other side may
+be gone without closing it, and connections would accumulate. With 36 instances
+a stream is used every 35 s on average."""
 
 PULL_GRACE_S = 1.0
-"""How long a newer document is awaited from a control process before it is
-taken from the instance that has it."""
+"""How long to wait for a newer document from a control process before it is
+fetched from another instance."""
 
 PULL_TIMEOUT_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True)
 class GossipSettings:
-    """Who the node is and whom it asks first."""
+    """Settings of a node.
+
+    Attributes:
+        domain: Failure domain of the instance.
+        address: ``host:port`` at which the instance listens for others.
+        seeds: Addresses of instances to contact first.
+        secret: Shared secret that authenticates the instances.
+    """
 
     domain: ids.DomainId
     address: str
@@ -76,17 +83,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class GossipHooks:
-    """What the node asks of the process and tells it; all must be quick.
+    """Callbacks from the node to the process; they must not block.
 
     Attributes:
-        collect: Returns the own row's items, at a time.
-        urgent: Tells whether there is news that can't wait.
-        on_changes: Takes what came in; the table has it already. Returns
-            whether it is to be passed on at once.
-        on_members: Takes the live instances when they have changed, with
-            those that are gone.
+        collect: Returns the items of the own row at the given time.
+        urgent: Returns whether there are urgent changes.
+        on_changes: Called with received changes after the table has applied
+            them. Returns whether to pass them on at once.
+        on_members: Called when the live instances have changed, with all live
+            instances and those that are gone.
         document: Returns the document in force.
-        on_document: Takes a newer document; runs in a thread.
+        on_document: Called with a newer document; runs in a thread.
     """
 
     collect: abc.Callable[[float], dict[rows.Key, rows.Value]]
@@ -100,7 +107,7 @@
 
 
 class _Partner:
-    """A standing stream to one address."""
+    """A long-lived stream to one address."""
 
     def __init__(self, address: str, secret: str):
         self._channel = secret_module.channel(address, secret)
@@ -109,7 +116,7 @@
         self.lock = asyncio.Lock()
 
     async def stream(self) -> client.Stream:
-        """Returns the stream; opens it at first."""
+        """Returns the stream; opens it at the first call."""
         if self._stream is None:
             stream = self.stub.Exchange.open()
             self._stream = await stream.__aenter__()
@@ -121,7 +128,7 @@
 
 
 class GossipNode(gossip_grpc.GossipBase, loop_module.LoopPart):
-    """One instance's end of the gossip; lives on the loop thread."""
+    """The gossip node of one instance; runs on the loop thread."""
 
     def __init__(
         self,
@@ -147,22 +154,24 @@
         self._wake = asyncio.Event()
 
     def stop(self) -> None:
-        """Says goodbye to some others and ends the rounds."""
+        """Announces the shutdown to some instances and ends the rounds."""
         super().stop()
-        self._loop.call(self._goodbye()).result(timeout=2 * EXCHANGE_TIMEOUT_S)
+        self._loop.call(self._announce_shutdown()).result(
+            timeout=2 * EXCHANGE_TIMEOUT_S
+        )
 
-    async def _goodbye(self) -> None:
+    async def _announce_shutdown(self) -> None:
         self._left = self._urgent = True
         await self._round(self._clock.now_s())
         for partner in self._partners.values():
             partner.close()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Takes other instances to ask first; may be called from any thread."""
+        """Replaces the seeds; may be called from any thread."""
         self._seeds = seeds
 
     def addresses(self) -> dict[ids.InstanceId, str]:
-        """Returns where the live instances are reached, this one included."""
+        """Returns the addresses of all live instances, including this one."""
         return {row.instance: self._address(row) for row in self.table.live()}
 
     def wake(self) -> None:
@@ -182,14 +191,14 @@
             await self._pause(next_s)
 
     async def _pause(self, until_s: float) -> None:
-        await asyncio.sleep(URGENT_GAP_S)
+        await asyncio.sleep(MIN_ROUND_GAP_S)
         while (left_s := until_s - self._clock.now_s()) > 0:
             if self._wake.is_set() or self._hooks.urgent():
                 self._urgent = True
                 break
             try:
                 await asyncio.wait_for(
-                    self._wake.wait(), min(left_s, NEWS_LOOK_S)
+                    self._wake.wait(), min(left_s, URGENT_CHECK_S)
                 )
             except TimeoutError:
                 continue
@@ -200,12 +209,12 @@
         head = rows.RowHeader(self._settings.address, revision, self._left)
         self.table.update(head, self._hooks.collect(now_s), now_s)
         gone = self.table.expire(now_s)
-        self._tell_members(gone)
-        addresses = self._choose(now_s)
+        self._update_members(gone)
+        addresses = self._choose_partners(now_s)
         await asyncio.gather(*(self._exchange(each) for each in addresses))
         await self._pull_newer(revision)
 
-    def _tell_members(self, gone: list[ids.InstanceId]) -> None:
+    def _update_members(self, gone: list[ids.InstanceId]) -> None:
         members = frozenset(row.instance for row in self.table.live())
         if members != self._members or gone:
             logs.event("members", members=sorted(members), gone=gone)
@@ -215,7 +224,7 @@
     def _address(self, row: table_module.Row) -> str:
         return self._seed_of.get(row.instance, row.head.address)
 
-    def _choose(self, now_s: float) -> list[str]:
+    def _choose_partners(self, now_s: float) -> list[str]:
         known = [self._address(row) for row in self.table.others()]
         self._close_unused({*known, *self._seeds})
         fan_out = URGENT_FAN_OUT if self._urgent else FAN_OUT
@@ -230,7 +239,7 @@
         return chosen
 
     def _close_unused(self, used: set[str]) -> None:
-        """Closes streams to instances that are gone, or they would pile up."""
+        """Closes streams to instances that are gone, so none accumulate."""
         for address in set(self._partners) - used:
             self._partners.pop(address).close()
 
@@ -241,20 +250,23 @@
             self._partners[address] = partner
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S), partner.lock:
-                await self._talk(partner, address)
+                await self._exchange_rows(partner, address)
         except control_client.LINK_ERRORS as error:
             logs.event(
-                "gossip missed", "DEBUG", address=address, detail=repr(error)
+                "gossip exchange failed",
+                "DEBUG",
+                address=address,
+                detail=repr(error),
             )
             partner.close()
             self._partners.pop(address, None)
 
-    async def _talk(self, partner: _Partner, address: str) -> None:
+    async def _exchange_rows(self, partner: _Partner, address: str) -> None:
         stream = await partner.stream()
         await stream.send_message(self._message(self.table.digest()))
         reply = await stream.recv_message()
         if reply is None:
-            raise ConnectionError("the stream ended")
+            raise ConnectionError("the gossip stream ended")
         if address in self._seeds:
             self._seed_of[ids.InstanceId(reply.instance)] = address
         if not self._accept(reply):
@@ -285,7 +297,12 @@
         )
 
     def _accept(self, message: gossip_pb2.GossipMessage) -> bool:
-        """Takes the rows of a message; False for a stranger's or one's own."""
+        """Applies the rows of a message.
+
+        Returns:
+            False if the message is from another failure domain or from this
+            instance itself.
+        """
         if message.instance == self.table.own.instance:
             return False
         if message.domain != self._settings.domain:
@@ -300,19 +317,21 @@
         deltas = [gossip_codec.delta_from_wire(r, now_s) for r in message.rows]
         changes = self.table.apply(deltas, now_s)
         if changes.refreshed or changes.items:
-            self._tell_members(changes.left)
+            self._update_members(changes.left)
             if self._hooks.on_changes(changes, now_s):
                 self._wake.set()
         return True
 
     async def Exchange(self, stream: server.Stream) -> None:  # noqa: N802
-        """Serves another instance's standing stream."""
+        """Serves the stream of another instance."""
         with contextlib.suppress(TimeoutError):
             await self._serve(stream)
 
     async def _serve(self, stream: server.Stream) -> None:
         while True:
-            message = await asyncio.wait_for(stream.recv_message(), IDLE_S)
+            message = await asyncio.wait_for(
+                stream.recv_message(), IDLE_TIMEOUT_S
+            )
             if message is None or not self._accept(message):
                 return
             if message.digest:
@@ -352,14 +371,14 @@
                 )
 
     async def fetch(self, address: str) -> control_pb2.DocumentMessage | None:
-        """Asks an instance for its document; None where it doesn't answer."""
+        """Fetches the document of an instance; None if it doesn't answer."""
         return await fetch_document(address, self._settings.secret)
 
 
 async def fetch_document(
     address: str, secret: str, timeout_s: float = PULL_TIMEOUT_S
 ) -> control_pb2.DocumentMessage | None:
-    """Asks an entry for its document; None where it doesn't answer."""
+    """Fetches the document of an entry; None if it doesn't answer."""
     channel = secret_module.channel(address, secret)
     try:
         return await asyncio.wait_for(
--- a/cardamombarrow/peers/membership.py
+++ b/cardamombarrow/peers/membership.py
@@ -1,8 +1,8 @@
-"""Joins the gossip of a failure domain to an entry's decisions.
+"""Connects the gossip of a failure domain to an entry's broker.
 
-Out go this instance's demand, what it has in flight, the load reports that it
-polled, endpoints that leave and quarantined requests; what others tell comes
-in and is handed to the broker.
+Publishes this instance's demand, its requests in flight, the load reports that
+it polled, leaving endpoints and quarantined requests; passes the same data of
+the other instances to the broker.
 """
 
 from collections import abc
@@ -28,34 +28,39 @@
 __all__ = ["Membership"]
 
 QUARANTINE_STEP_S = 1.0
-"""A quarantine that ends later by less than this is not told again; what is
-passed on from instance to instance gains the time it was under way."""
+"""A quarantine whose end moved by less than this is not published again: each
+time it is passed on, its end shifts by the time in transit."""
 
-LISTS_KEPT = 8
-"""Texts of lists that are remembered, for marks that come later."""
+CACHED_LIST_TEXTS = 8
+"""Number of list texts that are cached for stamps that arrive later."""
 
-_LIST = "platform list"
+_PLATFORM_LIST = "platform list"
 _OWN_REPORT = "own report"
 _SHARED_REPORT = "shared report"
-_NEWS_KINDS = (
+_URGENT_KINDS = (
     rows.ItemKind.LEAVING,
     rows.ItemKind.QUARANTINE,
     rows.ItemKind.LISTED,
 )
-"""What is passed on at once."""
+"""Kinds of items that are passed on at once."""
 
-_MARK = rows.ItemKind.LISTING
+_LISTING_STAMP = rows.ItemKind.LISTING
 _DEMAND_KINDS = (rows.ItemKind.DEMAND, rows.ItemKind.IN_FLIGHT)
-_FIRST_HAND = frozenset((_LIST, _OWN_REPORT))
+_OWN_SOURCES = frozenset((_PLATFORM_LIST, _OWN_REPORT))
 
 
-def _by_peer(instance: ids.InstanceId) -> str:
+def _peer_source(instance: ids.InstanceId) -> str:
     return f"instance {instance}"
 
 
 @dataclasses.dataclass
 class _Reports:
-    """Load reports: the newest of each endpoint, and those polled here."""
+    """Load reports by endpoint.
+
+    Attributes:
+        newest_s: When the newest report of the endpoint was measured.
+        own: The reports that this instance polled.
+    """
 
     newest_s: dict[ids.EndpointId, float] = dataclasses.field(
         default_factory=dict
@@ -66,7 +71,7 @@
 
 
 class Membership:
-    """What one entry tells and hears; called from several threads."""
+    """One entry's side of the gossip; methods are thread-safe."""
 
     def __init__(
         self,
@@ -84,52 +89,52 @@
         self._lock = threading.RLock()
         self._leaving = leaving_module.LeavingView()
         self._reports = _Reports()
-        self._limits = rate_limit_news.RateLimitNews(broker)
+        self._rate_limits = rate_limit_news.RateLimitNews(broker)
         self._members = frozenset((instance,))
         self._endpoints: dict[ids.EndpointId, endpoints_base.EndpointKind] = {}
         self._by_hash: dict[int, ids.EndpointId] = {}
-        self._listed: tuple[ids.EndpointId, ...] = ()
+        self._sorted_endpoints: tuple[ids.EndpointId, ...] = ()
         self._list_hash = 0
         self._document: schema.Document | None = None
-        self._found: tuple[messages.KnownEndpoint, ...] = ()
+        self._discovered: tuple[messages.KnownEndpoint, ...] = ()
         self._quarantine: dict[ids.Fingerprint, float] = {}
-        self._told_leaving: frozenset[ids.EndpointId] = frozenset()
+        self._published_leaving: frozenset[ids.EndpointId] = frozenset()
         self._listing: discovery.ListingWatch | None = None
-        self._listed_texts: dict[int, str] = {}
-        self._told_read_s = float("-inf")
+        self._list_texts: dict[int, str] = {}
+        self._published_read_s = float("-inf")
         self._table: table_module.Table | None = None
         self._poller: poller_module.Poller | None = None
 
     def attach(
         self, table: table_module.Table, poller: poller_module.Poller
     ) -> None:
-        """Sets the table that is read and the poller that is steered."""
+        """Sets the gossip table and the poller whose targets are assigned."""
         self._table = table
         self._poller = poller
 
     def share_listing(self, listing: discovery.ListingWatch) -> None:
-        """Tells others of the lists that this entry reads, and hears theirs."""
+        """Shares fetched lists of endpoints with the other entries."""
         self._listing = listing
 
     def is_list_reader(self) -> bool:
-        """Tells whether this entry reads the list for its domain."""
+        """Returns whether this entry fetches the list for its domain."""
         return rendezvous.list_reader(self._members) == self._instance
 
-    # -- what this instance sees ---------------------------------------------
+    # -- local observations --------------------------------------------------
 
     def on_document(self, document: schema.Document) -> None:
-        """Takes another document: other endpoints may be listed."""
+        """Applies a new document, which may list other endpoints."""
         with self._lock:
             self._document = document
-        self._relist()
+        self._rebuild_endpoints()
 
     def on_found(self, found: tuple[messages.KnownEndpoint, ...]) -> None:
-        """Takes the endpoints that discovery knows."""
+        """Applies the endpoints that discovery found."""
         with self._lock:
-            self._found = found
-        self._relist()
+            self._discovered = found
+        self._rebuild_endpoints()
 
-    def _known(self) -> abc.Iterator[messages.KnownEndpoint]:
+    def _known_endpoints(self) -> abc.Iterator[messages.KnownEndpoint]:
         services = self._document.services if self._document else {}
         for service in services.values():
             for domain, endpoints in service.endpoints.items():
@@ -137,11 +142,13 @@
                     yield messages.KnownEndpoint(
                         endpoint, service.service, domain
                     )
-        yield from (each for each in self._found if each.service in services)
+        yield from (
+            each for each in self._discovered if each.service in services
+        )
 
-    def _relist(self) -> None:
+    def _rebuild_endpoints(self) -> None:
         with self._lock:
-            known = list(self._known())
+            known = list(self._known_endpoints())
             self._endpoints = {
                 each.endpoint: self._kinds[
                     self._document.services[each.service].kind
@@ -153,37 +160,39 @@
                 rows.endpoint_hash(each.endpoint): each.endpoint
                 for each in known
             }
-            self._listed = tuple(sorted(self._endpoints))
-            self._list_hash = rows.endpoint_hash(" ".join(self._listed))
-            left = set(self._leaving.leaving())
-        for endpoint in left & set(self._by_hash.values()):
+            self._sorted_endpoints = tuple(sorted(self._endpoints))
+            self._list_hash = rows.endpoint_hash(
+                " ".join(self._sorted_endpoints)
+            )
+            leaving = set(self._leaving.leaving())
+        for endpoint in leaving & set(self._by_hash.values()):
             self._broker.set_leaving(endpoint, True)
-        self._retarget()
+        self._update_poll_targets()
 
     def endpoints_by_hash(self) -> dict[int, ids.EndpointId]:
-        """Returns the known endpoints by the hashes that name them."""
+        """Returns the known endpoints by their `rows.endpoint_hash`."""
         with self._lock:
             return self._by_hash
 
     def on_listing(
         self, listed: abc.Iterable[tuple[ids.EndpointId, bool]]
     ) -> None:
-        """Takes the platform's list: endpoints and whether they leave."""
+        """Applies the platform's list: endpoints and whether they leave."""
         for endpoint, leaving in listed:
-            self._tell_leaving(endpoint, _LIST, leaving)
+            self._update_leaving(endpoint, _PLATFORM_LIST, leaving)
 
     def on_report(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
-        """Takes a load report that this instance polled."""
+        """Applies a load report that this instance polled."""
         with self._lock:
             self._reports.own[endpoint] = report
             self._reports.newest_s[endpoint] = report.measured_at_s
         self._broker.report(endpoint, report)
-        self._tell_leaving(endpoint, _SHARED_REPORT, False)
-        self._tell_leaving(endpoint, _OWN_REPORT, report.leaving)
+        self._update_leaving(endpoint, _SHARED_REPORT, False)
+        self._update_leaving(endpoint, _OWN_REPORT, report.leaving)
 
-    def _tell_leaving(
+    def _update_leaving(
         self, endpoint: ids.EndpointId, source: str, leaving: bool
     ) -> None:
         with self._lock:
@@ -206,117 +215,125 @@
         for service, demand in own.demand_tokens_per_s.items():
             items[kind.DEMAND, service] = demand
         with self._lock:
-            counts = tuple(own.in_flight.get(each, 0) for each in self._listed)
+            counts = tuple(
+                own.in_flight.get(each, 0) for each in self._sorted_endpoints
+            )
             items[kind.IN_FLIGHT, ""] = rows.InFlight(self._list_hash, counts)
-            self._told_leaving = frozenset(
-                self._leaving.reported_by(_FIRST_HAND)
+            self._published_leaving = frozenset(
+                self._leaving.reported_by(_OWN_SOURCES)
             )
-            for endpoint in self._told_leaving:
+            for endpoint in self._published_leaving:
                 items[kind.LEAVING, endpoint] = True
             for endpoint, report in self._reports.own.items():
                 items[kind.REPORT, rows.endpoint_hash(endpoint)] = report
             self._collect_listing(items)
-            self._renew_quarantine(now_s)
+            self._refresh_quarantine(now_s)
             for fingerprint, end_s in self._quarantine.items():
                 items[kind.QUARANTINE, fingerprint] = end_s
-            items.update(self._limits.collect())
+            items.update(self._rate_limits.collect())
         return items
 
     def _collect_listing(self, items: dict[rows.Key, rows.Value]) -> None:
-        own_list = self._listing.last_fetched() if self._listing else None
-        if own_list is None:
+        fetched = self._listing.last_fetched() if self._listing else None
+        if fetched is None:
             return
-        text, self._told_read_s = own_list
+        text, self._published_read_s = fetched
         text_hash = rows.endpoint_hash(ids.EndpointId(text))
-        mark = rows.ListingStamp(text_hash, self._told_read_s)
-        items[rows.ItemKind.LISTING, ""] = mark
+        stamp = rows.ListingStamp(text_hash, self._published_read_s)
+        items[rows.ItemKind.LISTING, ""] = stamp
         items[rows.ItemKind.LISTED, ""] = text
 
     def _has_new_listing(self) -> bool:
-        own_list = self._listing.last_fetched() if self._listing else None
-        if own_list is None:
+        fetched = self._listing.last_fetched() if self._listing else None
+        if fetched is None:
             return False
-        return own_list[1] > self._told_read_s
+        return fetched[1] > self._published_read_s
 
-    def _take_listing(self, mark: rows.ListingStamp) -> bool:
-        """Takes that another entry read a list, if its text is known here.
+    def _apply_listing(self, stamp: rows.ListingStamp) -> bool:
+        """Applies a list that another entry fetched, if its text is cached.
 
         Returns:
-            Whether that is news.
+            Whether it is newer than the list here.
         """
-        text = self._listed_texts.get(mark.text_hash)
+        text = self._list_texts.get(stamp.text_hash)
         if text is None or self._listing is None:
             return False
-        return self._listing.receive(text, mark.read_s)
+        return self._listing.receive(text, stamp.read_s)
 
-    def _keep_listed(self, text: str) -> None:
+    def _cache_list_text(self, text: str) -> None:
         text_hash = rows.endpoint_hash(ids.EndpointId(text))
-        self._listed_texts[text_hash] = text
-        while len(self._listed_texts) > LISTS_KEPT:
-            del self._listed_texts[next(iter(self._listed_texts))]
+        self._list_texts[text_hash] = text
+        while len(self._list_texts) > CACHED_LIST_TEXTS:
+            del self._list_texts[next(iter(self._list_texts))]
 
-    def _renew_quarantine(self, now_s: float) -> None:
-        marks = self._broker.quarantine_marks()
-        for fingerprint, left_s in marks.items():
+    def _refresh_quarantine(self, now_s: float) -> None:
+        quarantined = self._broker.quarantine_marks()
+        for fingerprint, left_s in quarantined.items():
             end_s = now_s + left_s
             known_s = self._quarantine.get(fingerprint, 0.0)
             if abs(end_s - known_s) > QUARANTINE_STEP_S:
                 self._quarantine[fingerprint] = end_s
-        for fingerprint in set(self._quarantine) - set(marks):
+        for fingerprint in set(self._quarantine) - set(quarantined):
             del self._quarantine[fingerprint]
 
     def urgent(self) -> bool:
-        """Tells whether there is news that can't wait.
-
-        An endpoint leaves or states another rate limit, a request is
-        quarantined, or the list was read.
-        Without a round at once the word would take some seconds to reach a
-        domain of 36 instances, while each goes on sending to the endpoint; and
-        those whose list has grown old meanwhile read it themselves: with 12
-        entries in a domain they made three of four readings.
+        """Returns whether changes have to be published at once.
+
+        These are a leaving endpoint, a changed rate limit, a quarantined
+        request and a fetched list. The regular rounds take some seconds to
+        reach a domain of 36 instances, during which all keep sending to the
+        endpoint. Instances whose list gets too old meanwhile fetch it
+        themselves: in a domain of 12 entries, three of four fetches were
+        theirs.
         """
         if self._has_new_listing():
             return True
         with self._lock:
-            leaving = self._leaving.reported_by(_FIRST_HAND)
-            if not self._told_leaving.issuperset(leaving):
+            leaving = self._leaving.reported_by(_OWN_SOURCES)
+            if not self._published_leaving.issuperset(leaving):
                 return True
             known = self._quarantine.keys()
-        if self._limits.is_urgent():
+        if self._rate_limits.is_urgent():
             return True
         return not known >= self._broker.quarantine_marks().keys()
 
     def on_changes(self, changes: rows.Changes, now_s: float) -> bool:
-        """Takes what others told; True if it is to be passed on at once."""
-        news = bool(changes.left)
-        marks: dict[ids.Fingerprint, float] = {}
-        # A list's text comes before the mark that tells when it was read:
-        # the mark of a text that is not known is passed over, and a changed
-        # list was taken only at the next reading.
+        """Applies changes of other rows.
+
+        Returns:
+            Whether to pass them on at once.
+        """
+        pass_on = bool(changes.left)
+        quarantined: dict[ids.Fingerprint, float] = {}
+        # The text of a list goes before its stamp: a stamp without a known
+        # text is ignored, so a changed list would be applied only after the
+        # next fetch.
         for instance, (kind, name), value in sorted(
-            changes.items, key=lambda item: item[1][0] is _MARK
+            changes.items, key=lambda item: item[1][0] is _LISTING_STAMP
         ):
             if instance in changes.left:
                 continue
-            news = news or kind in _NEWS_KINDS
+            pass_on = pass_on or kind in _URGENT_KINDS
             if kind is rows.ItemKind.LEAVING:
                 endpoint = ids.EndpointId(name)
-                self._tell_leaving(endpoint, _by_peer(instance), bool(value))
+                self._update_leaving(
+                    endpoint, _peer_source(instance), bool(value)
+                )
             elif value is None:
                 continue
             elif kind is rows.ItemKind.QUARANTINE:
-                marks[ids.Fingerprint(name)] = value - now_s
+                quarantined[ids.Fingerprint(name)] = value - now_s
             else:
-                told = self._take_knowledge(instance, kind, name, value)
-                news = news or told
-        if marks:
-            self._broker.merge_quarantine(marks)
+                is_urgent = self._apply_item(instance, kind, name, value)
+                pass_on = pass_on or is_urgent
+        if quarantined:
+            self._broker.merge_quarantine(quarantined)
         for row in self._table.others():
             if row.instance in changes.refreshed:
-                self._broker.peer(self._demand_of(row))
-        return news
+                self._broker.peer(self._peer_demand(row))
+        return pass_on
 
-    def _take_limit(
+    def _apply_rate_limit(
         self,
         endpoint_hash: int,
         limit: messages.RateLimit,
@@ -325,27 +342,27 @@
         endpoint = self.endpoints_by_hash().get(endpoint_hash)
         if endpoint is None:
             return False
-        return self._limits.take(endpoint, limit, instance)
+        return self._rate_limits.take(endpoint, limit, instance)
 
-    def _take_knowledge(
+    def _apply_item(
         self,
         instance: ids.InstanceId,
         kind: rows.ItemKind,
         name: str | int,
         value: rows.Value,
     ) -> bool:
-        """Takes an item of a row; returns whether it can't wait for a round."""
+        """Applies one item; returns whether to pass it on at once."""
         if kind is rows.ItemKind.LISTING:
-            return self._take_listing(value)
+            return self._apply_listing(value)
         if kind is rows.ItemKind.RATE_LIMIT:
-            return self._take_limit(name, value, instance)
+            return self._apply_rate_limit(name, value, instance)
         if kind is rows.ItemKind.LISTED:
-            self._keep_listed(value)
+            self._cache_list_text(value)
         elif kind is rows.ItemKind.REPORT:
-            self._take_report(name, value)
+            self._apply_report(name, value)
         return False
 
-    def _take_report(
+    def _apply_report(
         self, endpoint_hash: int, report: messages.LoadReport
     ) -> None:
         with self._lock:
@@ -357,13 +374,13 @@
                 return
             self._reports.newest_s[endpoint] = report.measured_at_s
         self._broker.report(endpoint, report)
-        self._tell_leaving(endpoint, _SHARED_REPORT, report.leaving)
+        self._update_leaving(endpoint, _SHARED_REPORT, report.leaving)
 
-    def _demand_of(self, row: table_module.Row) -> messages.PeerDemand:
+    def _peer_demand(self, row: table_module.Row) -> messages.PeerDemand:
         demand: dict[ids.ServiceId, float] = {}
         in_flight: dict[ids.EndpointId, int] = {}
         with self._lock:
-            listed, list_hash = self._listed, self._list_hash
+            listed, list_hash = self._sorted_endpoints, self._list_hash
         for (kind, name), item in row.items.items():
             if item.value is None or kind not in _DEMAND_KINDS:
                 continue
@@ -381,20 +398,25 @@
         members: frozenset[ids.InstanceId],
         gone: list[ids.InstanceId],
     ) -> None:
-        """Takes the live instances, and those that are gone."""
+        """Applies a change of the live instances.
+
+        Args:
+            members: All live instances.
+            gone: Instances that left or were dropped.
+        """
         self._members = members | {self._instance}
         delegate = order_module.first_member(self._members)
         self._broker.set_delegate(delegate == self._instance)
         for instance in gone:
             self._broker.forget_peer(instance)
             with self._lock:
-                back = self._leaving.forget_source(_by_peer(instance))
-            for endpoint in back:
+                restored = self._leaving.forget_source(_peer_source(instance))
+            for endpoint in restored:
                 self._broker.set_leaving(endpoint, False)
-        self._retarget()
+        self._update_poll_targets()
 
-    def _retarget(self) -> None:
-        """Works out which endpoints this instance polls."""
+    def _update_poll_targets(self) -> None:
+        """Determines which endpoints this instance polls."""
         with self._lock:
             targets = {
                 endpoint: kind
@@ -407,5 +429,5 @@
             for endpoint in dropped:
                 del self._reports.own[endpoint]
         for endpoint in dropped:
-            self._tell_leaving(endpoint, _OWN_REPORT, False)
+            self._update_leaving(endpoint, _OWN_REPORT, False)
         self._poller.watch(targets)
--- a/cardamombarrow/peers/rate_limit_news.py
+++ b/cardamombarrow/peers/rate_limit_news.py
@@ -1,4 +1,4 @@
-"""What the instances of a domain tell each other of endpoints' rate limits."""
+"""Sharing of endpoints' rate limits between the instances of a domain."""
 
 from cardamombarrow.decisions import messages
 from cardamombarrow.entry import broker as broker_module
@@ -8,36 +8,37 @@
 __all__ = ["RateLimitNews"]
 
 RENEWAL_S = 2.0
-"""A limit that an endpoint states again is told again after this long."""
+"""An unchanged limit that an endpoint states again is published again after
+this long."""
 
 
 class RateLimitNews:
-    """Limits in this instance's row, and those in the others' rows."""
+    """Publishes this instance's limits and receives those of the others."""
 
     def __init__(self, broker: broker_module.Broker):
         self._broker = broker
-        self._told: dict[ids.EndpointId, messages.RateLimit] = {}
+        self._published: dict[ids.EndpointId, messages.RateLimit] = {}
 
     def collect(self) -> dict[rows.Key, rows.Value]:
         """Returns the items of this instance's row."""
         current = self._broker.rate_limits_to_tell()
         for endpoint, limit in current.items():
-            told = self._told.get(endpoint)
-            if told is None or _is_due(told, limit):
-                self._told[endpoint] = limit
-        for endpoint in set(self._told) - set(current):
-            del self._told[endpoint]
+            published = self._published.get(endpoint)
+            if published is None or _is_due(published, limit):
+                self._published[endpoint] = limit
+        for endpoint in set(self._published) - set(current):
+            del self._published[endpoint]
         return {
             (rows.ItemKind.RATE_LIMIT, rows.endpoint_hash(endpoint)): limit
-            for endpoint, limit in self._told.items()
+            for endpoint, limit in self._published.items()
         }
 
     def is_urgent(self) -> bool:
-        """Tells whether a limit has changed that others don't know of yet."""
+        """Returns whether a changed limit is not published yet."""
         current = self._broker.rate_limits_to_tell()
         return any(
-            endpoint not in self._told
-            or self._told[endpoint].per_s != limit.per_s
+            endpoint not in self._published
+            or self._published[endpoint].per_s != limit.per_s
             for endpoint, limit in current.items()
         )
 
@@ -47,11 +48,11 @@
         limit: messages.RateLimit,
         instance: ids.InstanceId,
     ) -> bool:
-        """Takes what another instance tells; returns whether it is news."""
+        """Applies a limit of another instance; returns whether it is new."""
         source = f"instance {instance}"
         return self._broker.hear_rate_limit(endpoint, limit, source)
 
 
-def _is_due(told: messages.RateLimit, limit: messages.RateLimit) -> bool:
-    changed = told.per_s != limit.per_s
-    return changed or limit.heard_s - told.heard_s >= RENEWAL_S
+def _is_due(published: messages.RateLimit, limit: messages.RateLimit) -> bool:
+    changed = published.per_s != limit.per_s
+    return changed or limit.heard_s - published.heard_s >= RENEWAL_S
