--- a/cardamombarrow/peers/placing_client.py
+++ b/cardamombarrow/peers/placing_client.py
@@ -1,8 +1,8 @@
-"""An entry's way to the placer of its domain: the side that asks.
+"""Client side of placement by the placer of a failure domain.
 
-One task keeps a standing stream to whom `placing.order` names. A question that
-gets no answer in time, or whose stream is lost, goes back to the entry's own
-dispatcher at once; nothing waits for a placer to come back.
+One task maintains a stream to the instance that `placing.order` selects. A
+question that times out, or whose stream is lost, is decided by the entry's own
+dispatcher at once; no request waits for a placer to recover.
 """
 
 import asyncio
@@ -24,31 +24,32 @@
 __all__ = ["ANSWER_S", "ClientHooks", "PlacingClient"]
 
 ANSWER_S = 0.05
-"""Longest wait for the first answer to a question. A round trip in the domain
+"""Maximum wait for the first answer to a question. A round trip in the domain
 and a decision take a fifth of it; the shortest target in use is ten times as
 long."""
 
-LATE_IN_A_ROW = 3
-"""Questions without an answer in time after which a placer is left."""
+MAX_TIMEOUTS_IN_A_ROW = 3
+"""Consecutive unanswered questions after which the client leaves a placer."""
 
-LOOK_S = 0.2
-"""Time between two looks at whom to ask and at whether it is silent."""
+CHECK_INTERVAL_S = 0.2
+"""Time between two checks of which placer to use and whether it is silent."""
 
-_Asked = placing_messages.AskedOutcome
+_Outcome = placing_messages.AskedOutcome
 
 
 @dataclasses.dataclass(frozen=True)
 class ClientHooks:
-    """What the client asks of the entry and tells it.
+    """Callbacks from the client to the entry.
 
     Attributes:
-        members: Returns the addresses of the domain's live instances, this
-            one included.
-        runs: Returns what runs now.
-        on_answer: Takes a decision, who made it and in what time; tells
-            whether it is carried out.
-        fall_back: Has a request decided here, and why.
-        count: Counts what became of a question.
+        members: Returns the addresses of the domain's live instances,
+            including this one.
+        runs: Returns the requests that run now.
+        on_answer: Called with a decision, the instance that made it and the
+            time since the question, in seconds. Returns whether the entry
+            carries it out.
+        fall_back: Decides a request locally; called with the reason.
+        count: Counts the outcome of a question.
     """
 
     members: abc.Callable[[], dict[ids.InstanceId, str]]
@@ -59,7 +60,7 @@
 
 
 class PlacingClient(asking.Asking, loop_module.LoopPart):
-    """Asks the placer; methods of `Asking` may be called from any thread."""
+    """Sends questions to the placer; methods of `Asking` are thread-safe."""
 
     def __init__(
         self,
@@ -74,44 +75,44 @@
         self._hooks = hooks
         self._order = order_module.PlacerOrder()
         self._link: placing_link.PlacingLink | None = None
-        self._moving: asyncio.Task[None] | None = None
+        self._connecting: asyncio.Task[None] | None = None
 
-    # -- what the entry calls, from any thread --------------------------------
+    # -- methods for the entry, on any thread ---------------------------------
 
     def takes(self) -> bool:
-        """Tells whether a question would reach a placer now."""
+        """Returns whether a placer is connected."""
         return self._link is not None
 
     def ask(self, job: messages.Job) -> None:
-        """Asks where a request goes."""
+        """Requests a placement from the placer."""
         asked_s = time.monotonic()
         self._loop.soon(lambda: self._ask(job, asked_s))
 
     def withdraw(self, request_id: ids.RequestId) -> None:
-        """Takes a question back."""
+        """Withdraws a question."""
         self._loop.soon(lambda: self._withdraw(request_id))
 
     def ran(self, run: placing_messages.Run) -> None:
-        """Tells of a request that this entry has sent by its own decision."""
+        """Reports a request that this entry has placed by itself."""
         if self._link is not None:
             self._loop.soon(lambda: self._ran(run))
 
     def began(self, request_id: ids.RequestId) -> None:
-        """Tells that a request's first event came."""
+        """Reports the first event of a request's answer."""
         if self._link is not None:
             self._loop.soon(lambda: self._began(request_id))
 
     def ended(
         self, request_id: ids.RequestId, outcome: messages.Outcome, tokens: int
     ) -> None:
-        """Tells that a request has left its endpoint."""
+        """Reports that a request has ended at its endpoint."""
         if self._link is not None:
             self._loop.soon(lambda: self._ended(request_id, outcome, tokens))
 
     def loaded(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
-        """Tells what an answer said of its endpoint's load."""
+        """Reports the endpoint load that an answer contained."""
         if self._link is not None:
             self._loop.soon(lambda: self._loaded(endpoint, report))
 
@@ -120,34 +121,36 @@
     def _ask(self, job: messages.Job, asked_s: float) -> None:
         link = self._link
         if link is None:
-            self._hooks.count(_Asked.LOST)
-            self._hooks.fall_back(job.request_id, "nobody is asked any longer")
+            self._hooks.count(_Outcome.LOST)
+            self._hooks.fall_back(job.request_id, "no placer is connected")
             return
         now_s = time.monotonic()
         left_s = max(asked_s + ANSWER_S - now_s, 0.0)
-        timer = self._timer(link, job, left_s)
+        timer = self._start_timer(link, job, left_s)
         link.questions[job.request_id] = placing_link.Question(
             job, asked_s, timer
         )
         link.send(urgent=True, question=placing_codec.job_to_wire(job, now_s))
 
-    def _timer(
+    def _start_timer(
         self, link: placing_link.PlacingLink, job: messages.Job, left_s: float
     ) -> asyncio.TimerHandle:
         loop = asyncio.get_running_loop()
-        return loop.call_later(left_s, self._late, link, job.request_id)
+        return loop.call_later(left_s, self._on_timeout, link, job.request_id)
 
-    def _late(
+    def _on_timeout(
         self, link: placing_link.PlacingLink, request_id: ids.RequestId
     ) -> None:
         if link.questions.pop(request_id, None) is None:
             return
-        link.late += 1
-        self._hooks.count(_Asked.LATE)
+        link.timeouts_in_a_row += 1
+        self._hooks.count(_Outcome.LATE)
         link.send(withdrawn=request_id)
-        self._hooks.fall_back(request_id, f"no answer of {link.instance}")
-        if link.late >= LATE_IN_A_ROW:
-            link.lose(f"{link.late} questions without an answer in time")
+        self._hooks.fall_back(
+            request_id, f"no answer in time from {link.instance}"
+        )
+        if link.timeouts_in_a_row >= MAX_TIMEOUTS_IN_A_ROW:
+            link.close(f"{link.timeouts_in_a_row} questions in a row timed out")
 
     def _withdraw(self, request_id: ids.RequestId) -> None:
         link = self._link
@@ -156,27 +159,27 @@
         question = link.questions.pop(request_id, None)
         if question is not None:
             question.timer.cancel()
-        link.told.discard(request_id)
+        link.reported.discard(request_id)
         link.send(withdrawn=request_id)
 
     def _ran(self, run: placing_messages.Run) -> None:
         link = self._link
-        if link is not None and run.job.request_id not in link.told:
-            link.told.add(run.job.request_id)
+        if link is not None and run.job.request_id not in link.reported:
+            link.reported.add(run.job.request_id)
             link.send(run=placing_codec.run_to_wire(run, time.monotonic()))
 
     def _began(self, request_id: ids.RequestId) -> None:
         link = self._link
-        if link is not None and request_id in link.told:
+        if link is not None and request_id in link.reported:
             link.send(begun=request_id)
 
     def _ended(
         self, request_id: ids.RequestId, outcome: messages.Outcome, tokens: int
     ) -> None:
         link = self._link
-        if link is None or request_id not in link.told:
+        if link is None or request_id not in link.reported:
             return
-        link.told.discard(request_id)
+        link.reported.discard(request_id)
         link.send(
             ended=placing_pb2.RunEnd(
                 request_id=request_id, outcome=outcome.value, tokens=tokens
@@ -199,43 +202,43 @@
         self, link: placing_link.PlacingLink, reply: placing_pb2.PlacingReply
     ) -> None:
         for answer in placing_codec.answers_from_wire(reply):
-            link.late = 0
+            link.timeouts_in_a_row = 0
             if isinstance(answer, placing_messages.Waits):
-                self._waits(link, answer.request_id)
+                self._on_waiting(link, answer.request_id)
             elif isinstance(answer.decision, messages.Preemption):
                 self._hooks.on_answer(answer, link.instance, 0.0)
             else:
-                self._decided(link, answer)
+                self._on_decision(link, answer)
 
-    def _waits(
+    def _on_waiting(
         self, link: placing_link.PlacingLink, request_id: ids.RequestId
     ) -> None:
         question = link.questions.get(request_id)
         if question is None:
             return
         question.timer.cancel()
-        # It is given up there at its deadline at the latest; should nobody
-        # tell, the entry does it.
+        # The placer refuses it at its deadline at the latest; this timer
+        # covers a placer that does not answer.
         left_s = question.job.deadline_s - time.monotonic() + ANSWER_S
-        question.timer = self._timer(link, question.job, max(left_s, 0.0))
+        question.timer = self._start_timer(link, question.job, max(left_s, 0.0))
 
-    def _decided(
+    def _on_decision(
         self,
         link: placing_link.PlacingLink,
         answer: placing_messages.Answer,
     ) -> None:
         question = link.questions.pop(answer.request_id, None)
         if question is None:
-            # It was taken back while the answer was on its way.
+            # The question was withdrawn while the answer was in transit.
             return
         question.timer.cancel()
         if isinstance(answer.decision, messages.Placement):
-            link.told.add(answer.request_id)
-        asked_s = time.monotonic() - question.asked_s
-        taken = self._hooks.on_answer(answer, link.instance, asked_s)
-        self._hooks.count(_Asked.DECIDED if taken else _Asked.NOT_TAKEN)
+            link.reported.add(answer.request_id)
+        elapsed_s = time.monotonic() - question.asked_s
+        accepted = self._hooks.on_answer(answer, link.instance, elapsed_s)
+        self._hooks.count(_Outcome.DECIDED if accepted else _Outcome.NOT_TAKEN)
 
-    # -- whom to ask ----------------------------------------------------------
+    # -- choice of the placer --------------------------------------------------
 
     async def _run(self) -> None:
         while True:
@@ -243,29 +246,31 @@
             self._order.set_members(members)
             now_s = time.monotonic()
             if self._link is not None:
-                self._link.look(now_s)
+                self._link.check_silence(now_s)
             first = self._order.first(now_s)
             if first is None or first not in members:
                 if self._link is not None:
-                    self._link.lose("nobody is to be asked", failed=False)
-            elif self._is_other(first):
-                self._moving = asyncio.create_task(
-                    self._move(first, members[first])
+                    self._link.close("no placer is available", failed=False)
+            elif self._must_connect(first):
+                self._connecting = asyncio.create_task(
+                    self._connect(first, members[first])
                 )
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _is_other(self, first: ids.InstanceId) -> bool:
-        if self._moving is not None and not self._moving.done():
+    def _must_connect(self, first: ids.InstanceId) -> bool:
+        if self._connecting is not None and not self._connecting.done():
             return False
         return self._link is None or first != self._link.instance
 
-    async def _move(self, instance: ids.InstanceId, address: str) -> None:
-        """Opens a stream to another placer, then leaves the one before.
+    async def _connect(self, instance: ids.InstanceId, address: str) -> None:
+        """Opens a stream to another placer, then closes the previous one.
 
-        Left first, each look at a placer that does not answer would cost the
-        one that does.
+        In the other order, each attempt to reach a placer that does not answer
+        would lose the working one.
         """
-        link = placing_link.PlacingLink(instance, self._on_reply, self._on_lost)
+        link = placing_link.PlacingLink(
+            instance, self._on_reply, self._on_closed
+        )
         hello = placing_pb2.PlacingRequest(
             instance=self._instance, epoch=time.time_ns()
         )
@@ -275,18 +280,18 @@
         before, self._link = self._link, link
         for run in self._hooks.runs():
             self._ran(run)
-        logs.event("asks", placer=instance, runs=len(link.told))
+        logs.event("asks", placer=instance, runs=len(link.reported))
         if before is not None:
-            before.lose("another placer is asked", failed=False)
+            before.close("replaced by another placer", failed=False)
 
-    def _on_lost(self, link: placing_link.PlacingLink) -> None:
-        """Has what is open on a link decided here, at once."""
+    def _on_closed(self, link: placing_link.PlacingLink) -> None:
+        """Decides the open questions of a link locally, at once."""
         if link is self._link:
             self._link = None
             logs.event(
-                "asks no more",
+                "placer link closed",
                 placer=link.instance,
-                reason=link.lost_reason,
+                reason=link.close_reason,
                 questions=len(link.questions),
             )
         if link.failed:
@@ -294,5 +299,5 @@
         for request_id, question in list(link.questions.items()):
             question.timer.cancel()
             del link.questions[request_id]
-            self._hooks.count(_Asked.LOST)
-            self._hooks.fall_back(request_id, link.lost_reason)
+            self._hooks.count(_Outcome.LOST)
+            self._hooks.fall_back(request_id, link.close_reason)
--- a/cardamombarrow/peers/placing_codec.py
+++ b/cardamombarrow/peers/placing_codec.py
@@ -1,6 +1,7 @@
-"""Between the placement messages and protobuf.
+"""Conversion between the placement messages and protobuf.
 
-Clocks of instances differ, so each moment travels as the time since then.
+Times are sent relative to the moment of sending, because the clocks of
+instances differ.
 """
 
 from collections import abc
@@ -88,7 +89,7 @@
 def run_to_wire(
     run: placing_messages.Run, now_s: float
 ) -> placing_pb2.PlacedRun:
-    """Converts a request that was sent."""
+    """Converts a request that runs on an endpoint."""
     return placing_pb2.PlacedRun(
         job=job_to_wire(run.job, now_s),
         endpoint=run.endpoint,
@@ -113,7 +114,7 @@
 
 
 def outcome_from_wire(value: str) -> messages.Outcome:
-    """Converts how a run ended; that of another version is a failure."""
+    """Converts the outcome of a run; an unknown one becomes `FAILED`."""
     try:
         return messages.Outcome(value)
     except ValueError:
@@ -124,7 +125,7 @@
     instance: ids.InstanceId,
     loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
 ) -> placing_pb2.LoadNews:
-    """Converts what a placer has on endpoints."""
+    """Converts the loads that a placer has on endpoints."""
     news = placing_pb2.LoadNews(instance=instance)
     for endpoint, load in loads.items():
         news.loads.add(
@@ -141,7 +142,7 @@
     known: abc.Mapping[int, ids.EndpointId],
     now_s: float,
 ) -> dict[ids.EndpointId, messages.OthersLoad]:
-    """Converts it back; leaves out endpoints that are not known here."""
+    """Converts loads back; leaves out endpoints that are not known here."""
     return {
         known[load.endpoint]: messages.OthersLoad(
             tuple(load.ranks), load.unread, float(load.unread_tokens), now_s
@@ -154,7 +155,7 @@
 def answers_to_wire(
     answers: abc.Iterable[placing_messages.Answer | placing_messages.Waits],
 ) -> placing_pb2.PlacingReply:
-    """Converts what is told at a time."""
+    """Converts a batch of answers."""
     reply = placing_pb2.PlacingReply()
     for answer in answers:
         if isinstance(answer, placing_messages.Waits):
@@ -205,10 +206,10 @@
 def answers_from_wire(
     wire: placing_pb2.PlacingReply,
 ) -> abc.Iterator[placing_messages.Answer | placing_messages.Waits]:
-    """Yields what was told at a time.
+    """Yields the answers of a batch.
 
-    An error kind of another version is taken for `NOT_READY`: the entry then
-    decides by itself.
+    An unknown error kind, from another version, becomes `NOT_READY`, so that
+    the entry decides by itself.
     """
     for request_id in wire.waiting:
         yield placing_messages.Waits(ids.RequestId(request_id))
--- a/cardamombarrow/peers/placing_service.py
+++ b/cardamombarrow/peers/placing_service.py
@@ -1,8 +1,8 @@
-"""The port side of the placer: one standing stream for each entry that asks.
+"""Server side of the placer: one long-lived stream for each entry.
 
-A stream is read by one task and written by another. What is to be told is
-gathered and goes out as one message: with one message for each answer, a burst
-costs more in framing than in decisions.
+A stream is read by one task and written by another. Answers are sent in
+batches: with one message per answer, a burst costs more in framing than in
+decisions.
 """
 
 import asyncio
@@ -20,26 +20,31 @@
 from cardamombarrow.peers import placing_pb2
 from cardamombarrow.placing import messages as placing_messages
 
-__all__ = ["PULSE_BUSY_S", "PULSE_IDLE_S", "SILENT_S", "PlacingService"]
+__all__ = [
+    "ENTRY_TIMEOUT_S",
+    "PULSE_BUSY_S",
+    "PULSE_IDLE_S",
+    "PlacingService",
+]
 
 PULSE_BUSY_S = 0.2
-"""Time between two messages to an entry that has requests here."""
+"""Maximum time between two messages to an entry with open questions."""
 
 PULSE_IDLE_S = 1.0
-"""The same for one that has none."""
+"""Maximum time between two messages to an entry without open questions."""
 
-SILENT_S = 10.0
-"""An entry of which nothing came for this long is dropped: it vanished without
-a word, and what it had running counts as load until then. One that is alive
-tells at least every `placing_link.PULSE_S`."""
+ENTRY_TIMEOUT_S = 10.0
+"""An entry that sent nothing for this long is dropped; its running requests
+count as load until then. A live entry sends a message at least every
+`placing_link.KEEPALIVE_S`."""
 
-NEWS_SILENT_S = 3.0
-"""The same for another domain's placer, which tells at least every
-`placing_teller.PULSE_S`: what it told is worth nothing by then."""
+LOADS_TIMEOUT_S = 3.0
+"""The same for the placer of another domain, which sends a message at least
+every `placing_teller.KEEPALIVE_S`. Its loads are outdated by then."""
 
 
-class _Out:
-    """What waits to be sent on one stream."""
+class _AnswerQueue:
+    """Answers that wait to be sent on one stream."""
 
     def __init__(self):
         self._answers: list[
@@ -55,7 +60,7 @@
         self._wake.set()
 
     async def take(self, timeout_s: float) -> placing_pb2.PlacingReply:
-        """Returns all there is; an empty message after `timeout_s`."""
+        """Returns all queued answers; an empty message after `timeout_s`."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._wake.wait(), timeout_s)
         self._wake.clear()
@@ -64,61 +69,61 @@
 
 
 class PlacingService(placing_grpc.PlacingBase):
-    """Takes questions for the placer; lives on the loop."""
+    """Passes questions and loads to the placer; runs on the loop."""
 
     def __init__(
         self,
         placer: placer_module.Placer,
         endpoints: abc.Callable[[], abc.Mapping[int, ids.EndpointId]],
     ):
-        """Builds the service.
+        """Creates the service.
 
         Args:
-            placer: Who decides.
+            placer: Decides the placements.
             endpoints: Returns the known endpoints by their hashes.
         """
         self._placer = placer
         self._endpoints = endpoints
-        self._tellers: dict[ids.InstanceId, server.Stream] = {}
+        self._load_streams: dict[ids.InstanceId, server.Stream] = {}
 
     async def Place(self, stream: server.Stream) -> None:  # noqa: N802
-        """Serves one entry until it leaves or goes silent."""
+        """Serves one entry until it leaves or times out."""
         first = await stream.recv_message()
         if first is None:
             return
-        out = _Out()
+        queue = _AnswerQueue()
         owner = self._placer.join(
-            ids.InstanceId(first.instance), first.epoch, out.put
+            ids.InstanceId(first.instance), first.epoch, queue.put
         )
         if owner is None:
             return
-        sender = asyncio.create_task(_send(stream, out, owner))
+        sender = asyncio.create_task(_send_answers(stream, queue, owner))
         try:
             with contextlib.suppress(TimeoutError):
                 message = first
                 while message is not None:
-                    self._take(owner, message)
+                    self._apply_events(owner, message)
                     message = await asyncio.wait_for(
-                        stream.recv_message(), SILENT_S
+                        stream.recv_message(), ENTRY_TIMEOUT_S
                     )
         finally:
             sender.cancel()
             self._placer.leave(owner)
 
     async def Tell(self, stream: server.Stream) -> None:  # noqa: N802
-        """Takes the loads of another domain's placer until it goes silent."""
+        """Receives the loads of another domain's placer until it times out."""
         instance = ids.InstanceId("")
         try:
             with contextlib.suppress(TimeoutError):
                 while True:
                     news = await asyncio.wait_for(
-                        stream.recv_message(), NEWS_SILENT_S
+                        stream.recv_message(), LOADS_TIMEOUT_S
                     )
                     if news is None:
                         return
                     if not instance:
                         instance = ids.InstanceId(news.instance)
-                        self._tellers[instance] = stream
+                        self._load_streams[instance] = stream
                     self._placer.set_others(
                         instance,
                         placing_codec.loads_from_wire(
@@ -127,20 +132,20 @@
                     )
                     await stream.send_message(placing_pb2.LoadPulse())
         finally:
-            # A placer that is back over another stream has told anew what it
-            # has; the end of the one before must not take that away.
-            if self._tellers.get(instance) is stream:
-                del self._tellers[instance]
+            # A placer that reconnected has sent its loads again over the new
+            # stream; the end of the old stream must not remove them.
+            if self._load_streams.get(instance) is stream:
+                del self._load_streams[instance]
                 self._placer.forget_others(instance)
 
-    def _take(
+    def _apply_events(
         self, owner: placer_module.Owner, message: placing_pb2.PlacingRequest
     ) -> None:
         now_s = time.monotonic()
         for event in message.events:
-            self._take_event(owner, event, now_s)
+            self._apply_event(owner, event, now_s)
 
-    def _take_event(
+    def _apply_event(
         self,
         owner: placer_module.Owner,
         event: placing_pb2.PlacingEvent,
@@ -170,11 +175,11 @@
                 self._placer.loaded(ids.EndpointId(load.endpoint), report)
 
 
-async def _send(
-    stream: server.Stream, out: _Out, owner: placer_module.Owner
+async def _send_answers(
+    stream: server.Stream, queue: _AnswerQueue, owner: placer_module.Owner
 ) -> None:
-    # The entry asks nothing before it has heard that somebody is here.
+    # The entry sends no questions before the first message from here.
     await stream.send_message(placing_pb2.PlacingReply())
     while True:
-        pulse_s = PULSE_BUSY_S if owner.tickets else PULSE_IDLE_S
-        await stream.send_message(await out.take(pulse_s))
+        keepalive_s = PULSE_BUSY_S if owner.tickets else PULSE_IDLE_S
+        await stream.send_message(await queue.take(keepalive_s))
--- a/cardamombarrow/peers/placing_teller.py
+++ b/cardamombarrow/peers/placing_teller.py
@@ -1,12 +1,12 @@
-"""Tells the placers of other domains what this one has on endpoints.
+"""Publishes the loads of a domain's placer to the placers of other domains.
 
-Load pattern answered: a burst in all domains. The placer of one domain knows
-its own domain's engines well and the others' not at all, so that the others'
-look idle to it; all placers then send to each other's engines, away from those
-that they know to be loaded.
+Handles a burst in all domains at once. The placer of one domain knows the load
+of its own domain's engines only, so those of other domains look idle to it;
+without this exchange, all placers would send to each other's engines, away
+from those that they know to be loaded.
 
-What crosses domains are sums by endpoint, and only those that changed. Their
-number grows with domains and endpoints, not with entries.
+Only sums per endpoint that changed are sent between domains. Their number
+grows with domains and endpoints, not with entries.
 """
 
 import asyncio
@@ -24,38 +24,40 @@
 from cardamombarrow.peers import placing_grpc
 from cardamombarrow.peers import secret as secret_module
 
-__all__ = ["PULSE_S", "LoadTeller"]
+__all__ = ["KEEPALIVE_S", "LoadTeller"]
 
 INTERVAL_S = 0.1
-"""Time between two messages while something changes."""
+"""Time between two messages while loads change."""
 
-PULSE_S = 1.0
-"""Time between two messages while nothing does."""
+KEEPALIVE_S = 1.0
+"""Time between two messages while they don't."""
 
-SILENT_S = 4.0
-"""A stream without a pulse for this long is opened anew."""
+SILENCE_TIMEOUT_S = 4.0
+"""A stream that received nothing for this long is reopened."""
 
 RETRY_S = 1.0
 
-IDLE_LOOK_S = 0.5
-"""Time between two looks at whether this instance places."""
+IDLE_CHECK_S = 0.5
+"""Time between two checks of whether this instance is a placer."""
 
 _Loads = dict[ids.EndpointId, messages.OthersLoad]
-_NOTHING = messages.OthersLoad((), 0, 0.0, 0.0)
+_NO_LOAD = messages.OthersLoad((), 0, 0.0, 0.0)
 
 
 def changed(before: _Loads, now: _Loads) -> _Loads:
-    """Returns what has to be told of loads that were told before.
+    """Returns the loads that differ; endpoints without load get an empty one.
 
-    What runs on an endpoint no longer is told as nothing.
+    Args:
+        before: The loads that were sent last.
+        now: The current loads.
     """
-    gone = dict.fromkeys(before.keys() - now.keys(), _NOTHING)
-    news = {
+    gone = dict.fromkeys(before.keys() - now.keys(), _NO_LOAD)
+    updated = {
         endpoint: load
         for endpoint, load in now.items()
-        if _figures(before.get(endpoint, _NOTHING)) != _figures(load)
+        if _figures(before.get(endpoint, _NO_LOAD)) != _figures(load)
     }
-    return gone | news
+    return gone | updated
 
 
 def _figures(
@@ -65,7 +67,7 @@
 
 
 class LoadTeller(loop_module.LoopPart):
-    """Keeps a stream to each other placer while this instance places."""
+    """Maintains a stream to each other placer while this instance places."""
 
     def __init__(
         self,
@@ -85,7 +87,7 @@
         self._loads: _Loads = {}
 
     def set_placers(self, addresses: abc.Iterable[str]) -> None:
-        """Takes the addresses of other domains' placers; from any thread."""
+        """Sets the addresses of other domains' placers; thread-safe."""
         self._placers = frozenset(addresses)
 
     async def _run(self) -> None:
@@ -97,58 +99,62 @@
                     self._tasks.pop(address).cancel()
                 for address in wanted - set(self._tasks):
                     self._tasks[address] = asyncio.create_task(
-                        self._tell_forever(address)
+                        self._publish_forever(address)
                     )
-                await asyncio.sleep(INTERVAL_S if wanted else IDLE_LOOK_S)
+                await asyncio.sleep(INTERVAL_S if wanted else IDLE_CHECK_S)
         finally:
             for task in self._tasks.values():
                 task.cancel()
 
-    async def _tell_forever(self, address: str) -> None:
+    async def _publish_forever(self, address: str) -> None:
         while True:
             channel = secret_module.channel(address, self._secret)
             try:
                 async with placing_grpc.PlacingStub(channel).Tell.open() as out:
-                    logs.event("tells loads", to=address)
-                    await self._tell(out)
+                    logs.event("load stream opened", to=address)
+                    await self._publish(out)
             except control_client.LINK_ERRORS as error:
                 logs.event(
-                    "loads not told", "DEBUG", to=address, detail=repr(error)
+                    "load stream lost", "DEBUG", to=address, detail=repr(error)
                 )
             finally:
                 channel.close()
             await asyncio.sleep(RETRY_S)
 
-    async def _tell(self, stream: client.Stream) -> None:
-        told: _Loads = {}
-        told_s = time.monotonic()
-        # grpclib opens a stream with its first message; nothing can be read
-        # before.
+    async def _publish(self, stream: client.Stream) -> None:
+        sent: _Loads = {}
+        sent_s = time.monotonic()
+        # grpclib opens a stream with the first message; nothing can be read
+        # before that.
         hello = placing_codec.loads_to_wire(self._instance, {})
-        async with asyncio.timeout(SILENT_S):
+        async with asyncio.timeout(SILENCE_TIMEOUT_S):
             await stream.send_message(hello)
         reader = asyncio.create_task(self._read(stream))
         try:
             while not reader.done():
                 loads = self._loads
-                news = changed(told, loads)
+                updates = changed(sent, loads)
                 now_s = time.monotonic()
-                if news or now_s - told_s >= PULSE_S:
+                if updates or now_s - sent_s >= KEEPALIVE_S:
                     await stream.send_message(
-                        placing_codec.loads_to_wire(self._instance, news)
+                        placing_codec.loads_to_wire(self._instance, updates)
                     )
-                    told, told_s = loads, now_s
+                    sent, sent_s = loads, now_s
                 await asyncio.sleep(INTERVAL_S)
         finally:
             reader.cancel()
-        # A stream that is left without an error waits for the other side's
-        # last word, which never comes over a silent link.
-        raise TimeoutError("the other side is silent, or has ended")
+        # Leaving the stream's context without an error waits for the other
+        # side to end the stream, which never happens over a silent link.
+        raise TimeoutError(
+            "the other placer is silent or has closed the stream"
+        )
 
     async def _read(self, stream: client.Stream) -> None:
-        """Ends when the other side has been silent for too long."""
+        """Returns once the other side has been silent for too long."""
         try:
-            while await asyncio.wait_for(stream.recv_message(), SILENT_S):
+            while await asyncio.wait_for(
+                stream.recv_message(), SILENCE_TIMEOUT_S
+            ):
                 pass
         except control_client.LINK_ERRORS:
             return
--- a/cardamombarrow/peers/tests/test_placing.py
+++ b/cardamombarrow/peers/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Entries and the placer of their domain over loopback, and what breaks."""
+"""Entries and the placer of their domain over loopback, with failures."""
 
 import contextlib
 import threading
@@ -38,14 +38,14 @@
 
 
 class _Fake(placing_grpc.PlacingBase):
-    """Is told no loads."""
+    """Implements no load exchange."""
 
     async def Tell(self, stream: grpclib_server.Stream) -> None:  # noqa: N802
         raise NotImplementedError
 
 
 class _Silent(_Fake):
-    """Says hello once, takes every question and answers none."""
+    """Sends the first message, then accepts questions and answers none."""
 
     async def Place(self, stream: grpclib_server.Stream) -> None:  # noqa: N802
         await stream.send_message(placing_pb2.PlacingReply())
@@ -53,15 +53,15 @@
             pass
 
 
-class _Other(_Fake):
-    """A service that does not know the call."""
+class _OtherVersion(_Fake):
+    """A service that does not implement the call."""
 
     async def Place(self, stream: grpclib_server.Stream) -> None:  # noqa: N802
         raise NotImplementedError
 
 
 class _Entry:
-    """An entry without callers: its broker, its port and its client."""
+    """An entry without an HTTP port: its broker, peer server and client."""
 
     def __init__(self, name, document):
         self.name = ids.InstanceId(name)
@@ -104,7 +104,7 @@
         self.server.start()
 
     def die(self) -> None:
-        """Ends without a word, as a killed process does."""
+        """Stops without closing its streams, as a killed process does."""
         self.client.stop()
         self.loop.stop()
 
@@ -116,7 +116,7 @@
         self.broker.stop()
         self.loop.stop()
 
-    def asks(self, other: "_Entry") -> bool:
+    def is_connected_to(self, other: "_Entry") -> bool:
         link = self.client._link
         return link is not None and link.instance == other.name
 
@@ -142,7 +142,7 @@
 
 @pytest.fixture
 def entries(kandula_text):
-    """Two entries that know each other; the first one places."""
+    """Two entries that know each other; the first one is the placer."""
     document = parsing.parse(kandula_text)
     made = [_Entry(f"entry-{number}", document) for number in (1, 2)]
     order = order_module.PlacerOrder()
@@ -158,8 +158,10 @@
             each.stop()
 
 
-def _settled(entries) -> None:
-    _wait_until(lambda: all(each.asks(entries[0]) for each in entries))
+def _wait_connected(entries) -> None:
+    _wait_until(
+        lambda: all(each.is_connected_to(entries[0]) for each in entries)
+    )
 
 
 def _running(broker: broker_module.Broker) -> int:
@@ -179,8 +181,8 @@
     return ticket, ticket.placed.result(timeout=_LIMIT_S)
 
 
-def test_one_decides_for_both_and_sees_all_that_runs(entries):
-    _settled(entries)
+def test_the_placer_decides_for_both_and_counts_all_runs(entries):
+    _wait_connected(entries)
     for number, entry in enumerate(entries * 2):
         _place(entry, number)
     domain = entries[0].broker.for_domain()
@@ -192,8 +194,8 @@
     _wait_until(lambda: _running(domain) == 0)
 
 
-def test_a_request_waits_at_the_placer_for_its_turn(entries):
-    _settled(entries)
+def test_a_request_waits_at_the_placer_for_a_free_slot(entries):
+    _wait_connected(entries)
     slots = _slots(entries[0].broker.for_domain())
     for number in range(slots):
         _place(entries[number % 2], number)
@@ -204,10 +206,10 @@
     waiting.placed.result(timeout=_LIMIT_S)
 
 
-def test_a_caller_that_leaves_while_its_request_waits_leaves_nothing(entries):
-    # Its place in the queue would be given an engine's slot that nobody uses
-    # and nobody gives back.
-    _settled(entries)
+def test_a_caller_that_leaves_while_its_request_waits_takes_no_slot(entries):
+    # If its request stayed in the queue, it would get a slot of an engine
+    # that is neither used nor released.
+    _wait_connected(entries)
     domain = entries[0].broker.for_domain()
     slots = _slots(domain)
     for number in range(slots):
@@ -225,24 +227,28 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "gone", "another version"])
-def test_without_a_placer_each_decides_by_itself_at_once(
+def test_without_a_placer_each_entry_decides_by_itself_at_once(
     kandula_text, entries, how
 ):
-    # The placer hangs, is dead, or is of a version that places for nobody.
-    # Callers must not notice: none is refused, and none waits longer than a
-    # question may take.
-    _settled(entries)
+    # The placer hangs, is dead, or is of a version without placement. Callers
+    # must not notice: none is refused, and none waits longer than the timeout
+    # of a question.
+    _wait_connected(entries)
     first, second = entries
     first.server.stop()
     if how != "gone":
         first.services = [_Silent()] if how == "silent" else []
         if how == "another version":
-            first.services = [_Other()]
+            first.services = [_OtherVersion()]
         first.listen()
         first.client.stop()
     if how == "silent":
         _wait_until(lambda: second.client._link is None)
-        _wait_until(lambda: second.asks(first) or second.asks(second))
+        _wait_until(
+            lambda: (
+                second.is_connected_to(first) or second.is_connected_to(second)
+            )
+        )
     for number in range(6):
         begin_s = time.monotonic()
         _place(second, number)
@@ -250,14 +256,14 @@
     assert _running(second.broker) == 6
 
 
-def test_a_placer_that_comes_back_is_told_what_runs(entries):
-    # It restarts with nothing in its books. Until it is told, the engines
-    # look empty to it and it fills them a second time.
-    _settled(entries)
+def test_a_restarted_placer_gets_reports_of_all_runs(entries):
+    # It restarts without any state. Without the reports, the engines look
+    # empty to it and it fills them a second time.
+    _wait_connected(entries)
     first, second = entries
     _place(second, 1)
     first.server.stop()
-    _wait_until(lambda: not second.asks(first))
+    _wait_until(lambda: not second.is_connected_to(first))
     _place(second, 2)
     domain = first.broker.for_domain()
     _wait_until(lambda: _running(domain) == 0)
@@ -268,8 +274,8 @@
     _wait_until(lambda: _running(domain) == 0)
 
 
-def test_an_entry_that_dies_leaves_no_place_taken(entries):
-    _settled(entries)
+def test_an_entry_that_dies_holds_no_slots(entries):
+    _wait_connected(entries)
     first, second = entries
     for number in range(4):
         _place(second, number)
@@ -279,29 +285,29 @@
     _wait_until(lambda: _running(domain) == 0)
 
 
-def test_a_later_stream_of_an_entry_replaces_the_one_before(kandula_text):
-    # The link goes silent without a reset, and the entry is back over another
-    # one. Counted with both, everything it runs would be counted twice.
+def test_a_later_stream_of_an_entry_replaces_the_previous_one(kandula_text):
+    # The link goes silent without a reset, and the entry connects again. With
+    # both streams in use, all its runs would be counted twice.
     broker = broker_module.Broker(
         parsing.parse(kandula_text),
         ids.InstanceId("entry-1"),
         _DOMAIN,
         clock.SystemClock(),
     )
-    done = []
+    answers = []
     placer = placer_module.Placer(broker.for_domain, lambda call: call())
-    before = placer.join(ids.InstanceId("entry-2"), 1, done.append)
+    before = placer.join(ids.InstanceId("entry-2"), 1, answers.append)
     placer.question(before, _job(1))
-    after = placer.join(ids.InstanceId("entry-2"), 2, done.append)
+    after = placer.join(ids.InstanceId("entry-2"), 2, answers.append)
     assert after is not None
-    assert placer.join(ids.InstanceId("entry-2"), 1, done.append) is None
+    assert placer.join(ids.InstanceId("entry-2"), 1, answers.append) is None
     assert _running(broker.for_domain()) == 0
     placer.leave(before)
     assert placer.owners == 1
     broker.for_domain().stop()
 
 
-def test_an_owner_may_not_fill_the_placer(kandula_text, monkeypatch):
+def test_one_entry_cannot_fill_the_placer(kandula_text, monkeypatch):
     monkeypatch.setattr(placer_module, "MOST_OPEN", 3)
     broker = broker_module.Broker(
         parsing.parse(kandula_text),
@@ -309,24 +315,24 @@
         _DOMAIN,
         clock.SystemClock(),
     )
-    told = []
+    answers = []
     placer = placer_module.Placer(broker.for_domain, lambda call: call())
-    owner = placer.join(ids.InstanceId("entry-2"), 1, told.append)
+    owner = placer.join(ids.InstanceId("entry-2"), 1, answers.append)
     for number in range(5):
         placer.question(owner, _job(number))
     refused = [
         answer.decision.kind
-        for answer in told
+        for answer in answers
         if isinstance(getattr(answer, "decision", None), messages.Refusal)
     ]
     assert refused == [errors.ErrorKind.NOT_READY] * 2
     broker.for_domain().stop()
 
 
-def test_two_who_both_place_send_nothing_twice(entries):
-    # Views of who is alive differ for some seconds, so both entries ask
-    # themselves. Each request is still sent by the entry that holds it, once.
-    _settled(entries)
+def test_two_placers_in_a_domain_send_no_request_twice(entries):
+    # The views of the live instances differ for some seconds, so each entry
+    # is its own placer. Each request is still sent once, by its own entry.
+    _wait_connected(entries)
     for each in entries:
         each.members = {
             each.name: each.address,
@@ -353,19 +359,19 @@
 
 
 def test_a_link_that_goes_silent_holds_no_request(entries):
-    # Something between two machines forgets their connection: no reset comes,
-    # and new connections work. A request that waits at the placer would wait
-    # until its deadline.
-    _settled(entries)
+    # A device between two machines loses the state of their connection: there
+    # is no reset, and new connections work. A request that waits at the
+    # placer would wait until its deadline.
+    _wait_connected(entries)
     first, second = entries
     with proxy.Proxy() as proxies:
         link = proxies.link("second", "first", first.address)
         second.members = {**second.members, first.name: link.address}
         second.client._loop.soon(
-            lambda: second.client._link.lose("moves", failed=False)
+            lambda: second.client._link.close("moves", failed=False)
         )
-        _wait_until(lambda: not second.asks(first))
-        _wait_until(lambda: second.asks(first))
+        _wait_until(lambda: not second.is_connected_to(first))
+        _wait_until(lambda: second.is_connected_to(first))
         slots = _slots(first.broker.for_domain())
         for number in range(slots):
             _place(first, number)
--- a/cardamombarrow/peers/tests/test_placing_codec.py
+++ b/cardamombarrow/peers/tests/test_placing_codec.py
@@ -1,4 +1,4 @@
-"""Placement messages on the wire and back."""
+"""Conversion of placement messages to the wire format and back."""
 
 import dataclasses
 
@@ -44,8 +44,8 @@
     return list(placing_codec.answers_from_wire(parsed))
 
 
-def test_a_request_arrives_with_its_times_on_the_other_clock():
-    # The clocks of two machines are a day apart. Taken as they stand, every
+def test_the_times_of_a_request_are_converted_to_the_other_clock():
+    # The clocks of two machines are a day apart. With absolute times, every
     # deadline would have passed or be a day away.
     sent = placing_codec.job_to_wire(_JOB, 100.25)
     parsed = placing_pb2.PlacingJob.FromString(sent.SerializeToString())
@@ -56,7 +56,7 @@
     assert dataclasses.replace(job, **times) == _JOB
 
 
-def test_a_run_arrives():
+def test_a_run_survives_the_conversion():
     job = dataclasses.replace(_JOB, unread_tokens=512.0)
     run = placing_messages.Run(job, _ENGINE, 100.5, True)
     sent = placing_codec.run_to_wire(run, 101.0)
@@ -92,27 +92,28 @@
         ),
     ],
 )
-def test_an_answer_arrives(answer):
+def test_an_answer_survives_the_conversion(answer):
     assert _answers(answer) == [answer]
 
 
-def test_a_refusal_of_another_version_is_no_refusal_of_the_caller():
-    # A newer placer knows an error that this entry does not. Passed on or
-    # raised, it would cost the caller an answer that the entry can give.
+def test_an_unknown_refusal_kind_does_not_refuse_the_caller():
+    # A newer placer sends an error kind that this entry does not know. If the
+    # entry passed it on or raised, the caller would lose an answer that the
+    # entry can still give.
     reply = placing_pb2.PlacingReply()
     reply.refused.add(request_id=_ID, kind="of tomorrow", detail="")
     answer = next(placing_codec.answers_from_wire(reply))
     assert answer.decision.kind is errors.ErrorKind.NOT_READY
 
 
-def test_an_outcome_of_another_version_is_a_failure():
+def test_an_unknown_outcome_is_a_failure():
     read = placing_codec.outcome_from_wire
     assert read("done") is messages.Outcome.DONE
     assert read("of tomorrow") is messages.Outcome.FAILED
 
 
-def test_a_plain_call_arrives_as_one():
-    # Guards against a placer that waits for a plain call's first event.
+def test_a_plain_call_stays_plain():
+    # Guards against a placer that waits for the first event of a plain call.
     job = dataclasses.replace(_JOB, streams=False)
     sent = placing_codec.job_to_wire(job, 100.25)
     assert not placing_codec.job_from_wire(sent, 100.25).streams
--- a/cardamombarrow/peers/tests/test_placing_teller.py
+++ b/cardamombarrow/peers/tests/test_placing_teller.py
@@ -1,4 +1,4 @@
-"""Placers of several domains tell each other what they have on endpoints."""
+"""Placers of several domains exchange their loads on endpoints."""
 
 import asyncio
 import time
@@ -44,12 +44,12 @@
         ({_ONE: _load(2)}, {_TWO: _load(1)}, {_ONE: 0, _TWO: 1}),
     ],
 )
-def test_only_what_changed_is_told_and_what_ended(before, now, told):
-    news = placing_teller.changed(before, now)
-    assert {name: len(load.ranks) for name, load in news.items()} == told
+def test_only_changed_and_ended_loads_are_sent(before, now, told):
+    updates = placing_teller.changed(before, now)
+    assert {name: len(load.ranks) for name, load in updates.items()} == told
 
 
-def test_an_endpoint_that_the_other_does_not_know_is_left_out():
+def test_an_endpoint_unknown_to_the_receiver_is_left_out():
     known = {rows.endpoint_hash(_ONE): _ONE}
     news = placing_codec.loads_to_wire(
         _SENDER, {_ONE: _load(3, 2, 99.6), _TWO: _load(1)}
@@ -59,15 +59,15 @@
 
 
 class _Placer:
-    """Takes note of what it is told."""
+    """Records the loads of the other placers."""
 
     def __init__(self):
         self.loads = {}
 
     def set_others(self, instance, loads):
-        told = self.loads.setdefault(instance, {})
+        counts = self.loads.setdefault(instance, {})
         for endpoint, load in loads.items():
-            told[endpoint] = len(load.ranks)
+            counts[endpoint] = len(load.ranks)
 
     def forget_others(self, instance):
         self.loads.pop(instance, None)
@@ -82,7 +82,7 @@
 
 
 @pytest.fixture
-def told(loop):
+def receiver(loop):
     """Address of a placer, and the placer."""
     port = deployment.free_ports(1)[0]
     placer = _Placer()
@@ -97,8 +97,8 @@
 
 
 @pytest.fixture
-def teller(loop):
-    """A teller, and the loads that it tells."""
+def publisher(loop):
+    """A publisher, and the loads that it publishes."""
     loads = {_ONE: _load(2)}
     placing = [True]
     made = placing_teller.LoadTeller(
@@ -110,35 +110,37 @@
     made.stop()
 
 
-def test_loads_arrive_and_go(told, teller):
-    address, placer = told
-    teller.set_placers([address])
+def test_loads_arrive_and_go(receiver, publisher):
+    address, placer = receiver
+    publisher.set_placers([address])
     _wait_until(lambda: placer.loads.get(_SENDER) == {_ONE: 2})
-    del teller.loads[_ONE]
-    teller.loads[_TWO] = _load(1)
+    del publisher.loads[_ONE]
+    publisher.loads[_TWO] = _load(1)
     _wait_until(lambda: placer.loads.get(_SENDER) == {_ONE: 0, _TWO: 1})
 
 
-def test_one_that_places_no_longer_is_forgotten(told, teller):
-    # Its requests go on by other decisions. Kept, what it told last would
-    # make the engines look loaded for good.
-    address, placer = told
-    teller.set_placers([address])
+def test_loads_of_an_instance_that_stops_placing_are_removed(
+    receiver, publisher
+):
+    # Its requests are now placed by others. If its last loads stayed, the
+    # engines would look loaded forever.
+    address, placer = receiver
+    publisher.set_placers([address])
     _wait_until(lambda: _SENDER in placer.loads)
-    teller.placing[0] = False
+    publisher.placing[0] = False
     _wait_until(lambda: _SENDER not in placer.loads)
 
 
-def test_what_was_told_over_a_link_that_went_silent_is_forgotten(
-    told, teller, monkeypatch
+def test_loads_received_over_a_link_that_went_silent_are_removed(
+    receiver, publisher, monkeypatch
 ):
     # The link between two regions goes silent without a reset. Engines that
-    # were full at that moment would look full until it comes back.
-    monkeypatch.setattr(placing_service, "NEWS_SILENT_S", 1.5)
-    address, placer = told
+    # were full at that moment would look full until the link works again.
+    monkeypatch.setattr(placing_service, "LOADS_TIMEOUT_S", 1.5)
+    address, placer = receiver
     with proxy.Proxy() as proxies:
         link = proxies.link("one", "other", address)
-        teller.set_placers([link.address])
+        publisher.set_placers([link.address])
         _wait_until(lambda: _SENDER in placer.loads)
         link.silence(new_too=True)
         _wait_until(lambda: _SENDER not in placer.loads)
@@ -147,7 +149,7 @@
 
 
 class _Stream:
-    """A stream whose messages the test hands in."""
+    """A stream whose messages the test provides."""
 
     def __init__(self):
         self.messages = asyncio.Queue()
@@ -159,10 +161,10 @@
         pass
 
 
-def test_the_end_of_a_stream_leaves_what_a_later_one_told():
-    # A placer opens another stream while its old one still hangs at this end.
-    # When that ends at last, what the new one told has to stay: it tells only
-    # what changes, and a full engine would look idle from then on.
+def test_the_end_of_a_stream_keeps_the_loads_of_a_later_one():
+    # A placer opens another stream while the old one is still open here. When
+    # the old one ends, the loads of the new one have to stay: only changes
+    # are sent, so a full engine would look idle from then on.
     placer = _Placer()
     known = {rows.endpoint_hash(_ONE): _ONE}
     service = placing_service.PlacingService(placer, lambda: known)
