--- a/cardamombarrow/peers/codec.py
+++ b/cardamombarrow/peers/codec.py
@@ -1,4 +1,4 @@
-"""Between the typed messages of the state machines and protobuf."""
+"""Conversion between the messages of the state machines and protobuf."""
 
 from cardamombarrow.document import machine as document_machine
 from cardamombarrow.kernel import errors
@@ -85,7 +85,7 @@
     """Converts an edition back.
 
     Raises:
-        ValueError: Its text can't be unpacked.
+        ValueError: The text can't be unpacked.
     """
     text = wire.text
     if wire.packed_text:
@@ -173,7 +173,7 @@
 
 
 def raise_failure(reply: control_pb2.Reply) -> control_pb2.Reply:
-    """Returns a reply, or raises the error that it carries.
+    """Returns a reply, or raises the error that it contains.
 
     Raises:
         errors.UnavailableError: The reply is a failure.
--- a/cardamombarrow/peers/collecting.py
+++ b/cardamombarrow/peers/collecting.py
@@ -1,8 +1,8 @@
-"""A control process's side of what entries count: usage, demand, the time.
+"""Collection of usage, demand and time at a control process.
 
-Entries tell with each question for a confirmation. Control processes ask each
-other once a second for what their own entries told, and only the one that
-leads the log needs it.
+Entries report usage and demand with each request for a confirmation. Control
+processes query each other once a second for what their own entries reported;
+only the leader of the log needs it.
 """
 
 import random
@@ -18,16 +18,17 @@
 __all__ = ["MeteringCollector", "demand_to_wire", "usage_to_wire"]
 
 WINDOWS_AHEAD = 1
-"""Windows later than the present one that are believed: clocks differ."""
+"""Number of windows after the current one that are accepted, because clocks
+differ."""
 
 
 class MeteringCollector:
-    """What was told of usage and demand; lives on one loop.
+    """Usage and demand reported by entries; runs on one loop.
 
     Attributes:
-        boot: Tells this start of the process from another.
-        usage: Counts by window.
-        demand: What is asked for.
+        boot: Random number that identifies this start of the process.
+        usage: Usage counts by window.
+        demand: Demand by failure domain and service.
     """
 
     def __init__(self):
@@ -38,15 +39,15 @@
         self._window_s = 0.0
 
     def count_windows(self, window_s: float) -> None:
-        """Sets the length of windows; without it all windows are believed."""
+        """Sets the length of windows; without it all windows are accepted."""
         self._window_s = window_s
 
     def unix_s(self) -> float:
-        """Returns the time of day that control processes agree on."""
+        """Returns the Unix time that control processes agree on."""
         return self._clocks.unix_s()
 
     def merge_request(self, request: control_pb2.ConfirmRequest) -> None:
-        """Takes what an entry tells with its question."""
+        """Applies the usage and demand in an entry's request."""
         now_s = time.monotonic()
         for row in request.usage:
             self._put(row, direct=True)
@@ -65,24 +66,24 @@
         request: control_pb2.FollowersRequest,
         reply: control_pb2.FollowersReply,
     ) -> None:
-        """Adds what another control process asks for to the answer to it."""
+        """Adds the data that another control process requests to its reply."""
         reply.unix_s = time.time()
         if not request.wants_usage:
             return
-        told, reply.usage_number = self.usage.own_since(request.usage_since)
-        reply.usage.extend(map(usage_to_wire, told))
+        counts, reply.usage_number = self.usage.own_since(request.usage_since)
+        reply.usage.extend(map(usage_to_wire, counts))
         own = self.demand.own(time.monotonic())
         reply.demand.extend(map(demand_to_wire, own))
 
     def merge_reply(
         self, peer: str, asked_s: float, reply: control_pb2.FollowersReply
     ) -> None:
-        """Takes another control process's answer.
+        """Applies the reply of another control process.
 
         Args:
-            peer: Its address.
-            asked_s: When it was asked, by the boot clock.
-            reply: The answer.
+            peer: Address of the control process.
+            asked_s: Time of the request, by the boot clock.
+            reply: The reply.
         """
         if reply.unix_s:
             self._clocks.add_sample(peer, reply.unix_s, asked_s)
@@ -108,22 +109,22 @@
         counts = dict(
             zip(map(ids.WorkspaceId, row.workspaces), row.counts, strict=False)
         )
-        told = board.SourceCounts(row.source, row.window, counts)
-        self.usage.put(told, direct=direct)
+        source_counts = board.SourceCounts(row.source, row.window, counts)
+        self.usage.put(source_counts, direct=direct)
 
 
-def usage_to_wire(told: board.SourceCounts) -> control_pb2.UsageRow:
+def usage_to_wire(usage: board.SourceCounts) -> control_pb2.UsageRow:
     """Converts the totals of one window."""
     return control_pb2.UsageRow(
-        source=told.source,
-        window=told.window,
-        workspaces=list(told.counts),
-        counts=list(told.counts.values()),
+        source=usage.source,
+        window=usage.window,
+        workspaces=list(usage.counts),
+        counts=list(usage.counts.values()),
     )
 
 
 def demand_to_wire(demand: board.Demand) -> control_pb2.DemandRow:
-    """Converts what a failure domain asks of a service."""
+    """Converts the demand of a failure domain for a service."""
     return control_pb2.DemandRow(
         domain=demand.domain,
         service=demand.service,
--- a/cardamombarrow/peers/committing.py
+++ b/cardamombarrow/peers/committing.py
@@ -1,4 +1,4 @@
-"""Hands a command to the log of this process and waits for the answer."""
+"""Commits commands to the log of this process."""
 
 from concurrent import futures
 
@@ -10,15 +10,15 @@
 __all__ = ["COMMIT_TIMEOUT_S", "commit"]
 
 COMMIT_TIMEOUT_S = 3.0
-"""Longer than an election: a command that waits for one is still committed."""
+"""Longer than an election, so that a command that waits for one succeeds."""
 
 
 def commit(log: base.Log, command: control_pb2.Command) -> control_pb2.Reply:
-    """Commits a command and returns its answer.
+    """Commits a command and returns its reply.
 
     Raises:
-        errors.RouterError: It was not committed in time, and may still be, or
-            it was refused.
+        errors.RouterError: The command was refused, or not committed in time;
+            it may still be committed later.
     """
     future = log.propose(command.SerializeToString())
     try:
--- a/cardamombarrow/peers/confirming.py
+++ b/cardamombarrow/peers/confirming.py
@@ -1,9 +1,9 @@
-"""An entry asks again and again whether its document is the newest.
+"""Periodic confirmation that an entry's document is the newest.
 
-What an entry hears by itself never tells that there is nothing newer: a link
-that was cut, or a control process that lags, is as silent as one that has no
-news. So an entry asks, and a control process answers after a majority has
-confirmed what it knows. `entry.lease` says what follows from the answers.
+Receiving no update does not prove that there is none: a broken link or a
+control process that lags behind looks the same. The entry therefore requests
+confirmations, and a control process replies after a majority has confirmed
+its state. `entry.lease` evaluates the replies.
 """
 
 import asyncio
@@ -24,18 +24,18 @@
 
 RETRY_S = 0.2
 
-ATTEMPT_S = 1.0
-"""Longest wait for one control process: above a round of the log with a slow
-disk, and short enough that another one can be asked within the bound."""
+ATTEMPT_TIMEOUT_S = 1.0
+"""Maximum wait for one control process: above a round of the log with a slow
+disk, and short enough that another one can be tried within the bound."""
 
 FLUSH_TIMEOUT_S = 0.3
-"""Longest wait at a stop: what is told has arrived long before an answer."""
+"""Maximum wait when stopping: the request arrives long before its reply."""
 
 OnReply = abc.Callable[[str, float, control_pb2.ConfirmReply], None]
 
 
 class Confirming(loop_module.LoopPart):
-    """Asks for confirmations; one task on the loop."""
+    """Requests confirmations; one task on the loop."""
 
     def __init__(
         self,
@@ -45,15 +45,15 @@
         on_reply: OnReply,
         time_source: clock.Clock,
     ):
-        """Builds the task.
+        """Creates the task.
 
         Args:
-            loop: Where it runs.
+            loop: The loop on which it runs.
             control: The links to the control processes.
-            request: Returns what to ask a control process, by its address.
-            on_reply: Takes whom was asked, the moment at which, and the
-                answer; runs in a thread.
-            time_source: The clock of those moments.
+            request: Returns the request to the control process at an address.
+            on_reply: Called with the address of the control process, the time
+                of the request and the reply; runs in a thread.
+            time_source: The clock for the time of the request.
         """
         super().__init__(loop)
         self._control = control
@@ -65,7 +65,7 @@
         confirmed = False
         while True:
             asked_s = self._clock.now_s()
-            address, reply = await self._ask()
+            address, reply = await self._confirm_once()
             if confirmed != (reply is not None):
                 confirmed = reply is not None
                 logs.event(
@@ -77,19 +77,23 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             await asyncio.to_thread(self._on_reply, address, asked_s, reply)
-            past_s = self._clock.now_s() - asked_s
-            await asyncio.sleep(max(INTERVAL_S - past_s, RETRY_S))
+            elapsed_s = self._clock.now_s() - asked_s
+            await asyncio.sleep(max(INTERVAL_S - elapsed_s, RETRY_S))
 
-    async def _ask(self) -> tuple[str, control_pb2.ConfirmReply | None]:
+    async def _confirm_once(
+        self,
+    ) -> tuple[str, control_pb2.ConfirmReply | None]:
         for address in self._control.addresses():
             reply = await self._control.confirm(
-                self._request(address), address, ATTEMPT_S
+                self._request(address), address, ATTEMPT_TIMEOUT_S
             )
             if reply is not None and reply.confirmed:
                 return address, reply
         return "", None
 
     def flush(self) -> None:
-        """Asks once more before the process stops, for what asking tells."""
+        """Sends a last request when stopping, to report the latest usage."""
         with contextlib.suppress(futures.TimeoutError):
-            self._loop.call(self._ask()).result(timeout=FLUSH_TIMEOUT_S)
+            self._loop.call(self._confirm_once()).result(
+                timeout=FLUSH_TIMEOUT_S
+            )
--- a/cardamombarrow/peers/control_client.py
+++ b/cardamombarrow/peers/control_client.py
@@ -1,8 +1,8 @@
-"""An entry's standing link to the control processes.
+"""An entry's link to the control processes.
 
-One task per entry keeps a stream to one control process: reports of the
-applied revision go up, accepted documents come down. When the link breaks or
-goes silent, or its control process has no quorum, the next one is tried.
+One task per entry maintains a stream to one control process: it sends reports
+of the applied revision and receives accepted documents. If the link breaks or
+goes silent, or the control process has no quorum, the next one is tried.
 """
 
 import asyncio
@@ -30,32 +30,32 @@
 RECONNECT_MIN_S = 0.2
 RECONNECT_MAX_S = 2.0
 
-SILENT_S = 4.0
-"""A link on which nothing came for this long is replaced: four heartbeats of
-`followers.HEARTBEAT_S`, so that one late heartbeat does no harm."""
+SILENCE_TIMEOUT_S = 4.0
+"""A link that received nothing for this long is replaced: four heartbeats of
+`followers.HEARTBEAT_S`, so that a late heartbeat does not break the link."""
 
-NO_QUORUM_MOVE_S = 3.0
-"""How long a control process without a quorum is followed: longer than an
-election takes, shorter than an edit may take to be in force."""
+NO_QUORUM_TIMEOUT_S = 3.0
+"""How long to follow a control process without a quorum: longer than an
+election, shorter than the time within which an edit has to be in force."""
 
-ATTEMPT_S = 1.2
-"""Longest wait for one control process before the next is asked. It may have
-lost its quorum without knowing it yet, or the link may be silent."""
+ATTEMPT_TIMEOUT_S = 1.2
+"""Maximum wait for one control process before the next one is tried. It may
+have lost its quorum without having detected it, or the link may be silent."""
 
-NEAR_LOOK_S = 1.0
-"""Time between two looks for the own domain's control process while another
-one is followed. It was not there yet at the start, or was lost for a time;
-without the look an entry gets all documents from another region from then on:
-of eight entries that started with the control processes, five did."""
+OWN_DOMAIN_CHECK_S = 1.0
+"""Time between two checks for the own domain's control process while another
+one is followed. It may not have been up at the start, or have been unreachable
+for a time. Without the check, five of eight entries that started together with
+the control processes got all documents from another region from then on."""
 
 PROPOSE_PAUSE_S = 0.1
-"""Pause after every control process has refused: an election may be on."""
+"""Pause after all control processes refused: there may be an election."""
 
-GOODBYE_S = 1.0
+SHUTDOWN_TIMEOUT_S = 1.0
 
 
 class StaleBaseError(Exception):
-    """Changes came for another text than the one in force."""
+    """Received changes don't apply to the text in force."""
 
 
 LINK_ERRORS = (
@@ -67,16 +67,16 @@
     exceptions.ProtocolError,
     exceptions.StreamTerminatedError,
 )
-"""What a broken or silent link raises.
+"""Exceptions that a broken or silent link raises.
 
-grpclib 0.4 raises AttributeError when a connection is reset between being
-made and its first stream: its `Connection` has lost `_transport` by then. An
-entry that started while a control process was not listening yet ended by it.
+grpclib 0.4 raises AttributeError if a connection is reset after it was made
+and before its first stream, because its `Connection` then has no `_transport`.
+An entry that started before a control process was listening crashed on it.
 """
 
 
 class ControlClient(lifecycle.Part):
-    """Follows documents and hands in commands."""
+    """Follows accepted documents and submits commands."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         self._report_interval_s = report_interval_s
         self._channels: dict[str, client.Channel] = {}
         self._followed = ""
-        self._near = ""
+        self._own_control = ""
         self._changed = asyncio.Event()
         self._stopping = False
         self._tasks: list[futures.Future[None]] = []
@@ -110,47 +110,49 @@
         """Starts following."""
         self._tasks = [
             self._loop.call(self._follow_forever()),
-            self._loop.call(self._look_near_forever()),
+            self._loop.call(self._watch_own_domain()),
         ]
 
     def stop(self) -> None:
-        """Says goodbye and stops following."""
-        self._loop.call(self._goodbye()).result(timeout=GOODBYE_S + 1)
+        """Announces the shutdown and stops following."""
+        self._loop.call(self._announce_shutdown()).result(
+            timeout=SHUTDOWN_TIMEOUT_S + 1
+        )
         for task in self._tasks:
             task.cancel()
         self._loop.call(self._close()).result(timeout=5)
 
-    async def _goodbye(self) -> None:
+    async def _announce_shutdown(self) -> None:
         self._stopping = True
         self._changed.set()
-        # Leaves the link time to send the goodbye.
-        await asyncio.sleep(GOODBYE_S / 10)
+        # Gives the link time to send the last report.
+        await asyncio.sleep(SHUTDOWN_TIMEOUT_S / 10)
 
     async def _close(self) -> None:
         for channel in self._channels.values():
             channel.close()
 
     def addresses(self) -> list[str]:
-        """Returns the control processes, the one to ask first in front."""
+        """Returns the addresses of control processes, best one first."""
         return list(self._addresses)
 
     def set_controls(self, controls: tuple[str, ...]) -> None:
-        """Takes another list of control processes; from any thread."""
+        """Replaces the list of control processes; thread-safe."""
         self._loop.call(self._set_controls(controls))
 
     async def _set_controls(self, controls: tuple[str, ...]) -> None:
-        kept = [each for each in self._addresses if each in controls]
-        added = [each for each in controls if each not in kept]
-        self._addresses = kept + added or self._addresses
+        remaining = [each for each in self._addresses if each in controls]
+        added = [each for each in controls if each not in remaining]
+        self._addresses = remaining + added or self._addresses
         for address in added:
-            # Tells in which domain it stands.
-            await self._document(address, ATTEMPT_S)
+            # The reply contains the failure domain of the control process.
+            await self._document(address, ATTEMPT_TIMEOUT_S)
 
     def _prefer_own_domain(self, address: str, domain: str) -> None:
-        """Puts control processes of the own domain first.
+        """Moves control processes of the own domain to the front.
 
-        Each answer is then asked for inside the domain, and only the control
-        processes speak between domains, however many entries there are.
+        Entries then send their requests inside their domain, and only control
+        processes communicate between domains, whatever the number of entries.
         """
         if self._domains.get(address) == domain:
             return
@@ -166,8 +168,8 @@
             )
         return control_grpc.ControlStub(self._channels[address])
 
-    def _drop(self, address: str) -> None:
-        """Closes a channel, so that the next use connects anew."""
+    def _disconnect(self, address: str) -> None:
+        """Closes a channel, so that the next use opens a new connection."""
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
@@ -189,57 +191,59 @@
                     detail=repr(error),
                 )
             self._followed = ""
-            self._drop(address)
+            self._disconnect(address)
             self._addresses.remove(address)
             self._addresses.append(address)
-            if self._near in self._addresses:
-                self._addresses.remove(self._near)
-                self._addresses.insert(0, self._near)
-            self._near = ""
+            if self._own_control in self._addresses:
+                self._addresses.remove(self._own_control)
+                self._addresses.insert(0, self._own_control)
+            self._own_control = ""
             await asyncio.sleep(random.uniform(RECONNECT_MIN_S, pause_s))
             pause_s = min(pause_s * 2, RECONNECT_MAX_S)
 
-    async def _look_near_forever(self) -> None:
+    async def _watch_own_domain(self) -> None:
         while not self._stopping:
-            await asyncio.sleep(NEAR_LOOK_S)
-            if self._followed and not self._is_own(self._followed):
-                await self._look_near()
+            await asyncio.sleep(OWN_DOMAIN_CHECK_S)
+            if self._followed and not self._is_in_own_domain(self._followed):
+                await self._find_own_control()
 
-    def _is_own(self, address: str) -> bool:
+    def _is_in_own_domain(self, address: str) -> bool:
         return self._domains.get(address) == self._domain
 
-    async def _look_near(self) -> None:
-        """Notes the own domain's control process, if it has a quorum."""
+    async def _find_own_control(self) -> None:
+        """Sets the own domain's control process, if it has a quorum."""
         for address in self._addresses:
             if address == self._followed:
                 continue
-            if not self._is_own(address) and address in self._domains:
+            if not self._is_in_own_domain(address) and address in self._domains:
                 continue
-            message = await self._document(address, ATTEMPT_S, brief=True)
+            message = await self._document(
+                address, ATTEMPT_TIMEOUT_S, brief=True
+            )
             has_quorum = message is not None and message.has_quorum
-            if has_quorum and self._is_own(address):
-                self._near = address
+            if has_quorum and self._is_in_own_domain(address):
+                self._own_control = address
                 return
 
     async def _follow(self, address: str) -> None:
         loop = asyncio.get_running_loop()
         quorum_s = loop.time()
-        async with asyncio.timeout(SILENT_S) as silence:
+        async with asyncio.timeout(SILENCE_TIMEOUT_S) as silence:
             async with self._stub(address).Follow.open() as stream:
                 await stream.send_message(self._report())
                 sender = asyncio.create_task(self._send_reports(stream))
                 try:
                     while message := await stream.recv_message():
                         self._followed = address
-                        silence.reschedule(loop.time() + SILENT_S)
-                        await self._take(message)
+                        silence.reschedule(loop.time() + SILENCE_TIMEOUT_S)
+                        await self._apply(message)
                         if message.has_quorum:
                             quorum_s = loop.time()
-                        if loop.time() - quorum_s > NO_QUORUM_MOVE_S:
+                        if loop.time() - quorum_s > NO_QUORUM_TIMEOUT_S:
                             logs.event("control without quorum", "WARNING")
                             return
-                        if self._near:
-                            logs.event("control of the own domain is back")
+                        if self._own_control:
+                            logs.event("control of the own domain available")
                             return
                 finally:
                     sender.cancel()
@@ -255,37 +259,37 @@
             report.leaving = self._stopping
             await stream.send_message(report)
 
-    async def _take(self, message: control_pb2.DocumentMessage) -> None:
+    async def _apply(self, message: control_pb2.DocumentMessage) -> None:
         if not message.text and not message.changes:
             return
         try:
-            # Parsing takes long enough to hold up every other link.
-            await asyncio.to_thread(self._put_in_force, message)
+            # Parsing would block the event loop and all other links.
+            await asyncio.to_thread(self._apply_document, message)
         except errors.RouterError as error:
-            # A later version of the control processes may accept what this
-            # one can't read. It keeps what it has in force.
+            # Control processes of a later version may accept a document that
+            # this entry can't parse. The previous one stays in force.
             logs.event("document not taken", "ERROR", detail=error.detail)
         self._changed.set()
 
-    def _put_in_force(self, message: control_pb2.DocumentMessage) -> None:
+    def _apply_document(self, message: control_pb2.DocumentMessage) -> None:
         text = message.text
         if message.changes:
             revision, base = self._in_force()
             if revision >= message.revision:
                 return
             if revision != message.base_revision:
-                # Put on another text the changes would give a document that
-                # nobody accepted. A new link starts with a report of what is
-                # in force here, and gets what is lacking.
+                # Applied to another text, the changes would result in a
+                # document that was never accepted. A new link starts with a
+                # report of the revision in force and gets the missing changes.
                 raise StaleBaseError(
-                    f"changes of revision {message.base_revision}, "
-                    f"{revision} in force"
+                    f"changes based on revision {message.base_revision}, "
+                    f"{revision} is in force"
                 )
             text = text_module.replace(base, dict(message.changes))
         self._on_document(ids.Revision(message.revision), text, message.format)
 
     def report_now(self) -> None:
-        """Sends a report at once, because another revision is in force."""
+        """Sends a report at once, after a new revision is in force."""
         self._loop.call(self._set_changed())
 
     async def _set_changed(self) -> None:
@@ -294,7 +298,7 @@
     def documents(
         self, timeout_s: float
     ) -> list[futures.Future[control_pb2.DocumentMessage | None]]:
-        """Asks every control process for its newest document."""
+        """Requests the newest document from each control process."""
         return [
             self._loop.call(self._document(address, timeout_s))
             for address in self._addresses
@@ -309,7 +313,7 @@
                 self._stub(address).Document(request), timeout_s
             )
         except LINK_ERRORS:
-            self._drop(address)
+            self._disconnect(address)
             return None
         self._prefer_own_domain(address, message.domain)
         return message
@@ -320,10 +324,10 @@
         address: str,
         timeout_s: float,
     ) -> control_pb2.ConfirmReply | None:
-        """Asks one control process for a confirmation, on the loop.
+        """Requests a confirmation from one control process, on the loop.
 
         Returns:
-            None where it does not answer in time.
+            The reply; None if there is none in time.
         """
         try:
             return await asyncio.wait_for(
@@ -331,7 +335,7 @@
             )
         except LINK_ERRORS:
             if address != self._followed:
-                self._drop(address)
+                self._disconnect(address)
             return None
 
     # -- commands ----------------------------------------------------------
@@ -341,8 +345,8 @@
     ) -> futures.Future[control_pb2.Reply]:
         """Hands a command to the log by way of any control process.
 
-        A command may be handed in more than once, where an answer was lost;
-        the state machines take each command once only.
+        A command may be submitted more than once if a reply was lost; the
+        state machines apply each command only once.
         """
         return self._loop.call(self._propose(command, timeout_s))
 
@@ -351,14 +355,14 @@
     ) -> control_pb2.Reply:
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + timeout_s
-        reply = _no_quorum("no control process is set")
+        reply = _no_quorum("no control process is configured")
         while loop.time() < deadline_s:
             for address in list(self._addresses):
                 left_s = deadline_s - loop.time()
                 if left_s <= 0:
                     break
                 reply = await self._attempt(
-                    command, address, min(left_s, ATTEMPT_S)
+                    command, address, min(left_s, ATTEMPT_TIMEOUT_S)
                 )
                 if reply.WhichOneof("kind") != "failure":
                     return reply
@@ -374,9 +378,9 @@
             )
         except LINK_ERRORS as error:
             if address != self._followed:
-                # Nothing else watches this link: had it gone silent, every
-                # later command on it would wait in vain.
-                self._drop(address)
+                # Nothing else monitors this link: if it is silent, all later
+                # commands on it would time out.
+                self._disconnect(address)
             return _no_quorum(f"{address}: {error!r}")
 
 
--- a/cardamombarrow/peers/control_service.py
+++ b/cardamombarrow/peers/control_service.py
@@ -1,4 +1,4 @@
-"""The control process's side of `control.proto`."""
+"""gRPC service of a control process; see `control.proto`."""
 
 import asyncio
 from collections import abc
@@ -23,17 +23,18 @@
 
 PROPOSE_TIMEOUT_S = 3.0
 
-ADDRESSES_TOLD = 5
-"""Entries of its domain that an entry is told of; gossip finds the others."""
+MAX_ENTRY_ADDRESSES = 5
+"""Maximum number of addresses of other entries in a reply to an entry; it
+finds the others of its domain by gossip."""
 
 
 class ControlService(control_grpc.ControlBase):
-    """Serves entries; lives on the loop thread.
+    """Serves entries; runs on the loop thread.
 
     Attributes:
-        followers: The entries that follow, and the document they get.
-        kept: What entries tell each other of engines' caches.
-        metered: What entries have counted, and the time that is agreed on.
+        followers: The entries that follow this process and their document.
+        kept: What entries share about the caches of engines.
+        metered: Usage and demand counted by entries, and the agreed time.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         )
 
     async def Propose(self, stream: server.Stream) -> None:  # noqa: N802
-        """Hands a command to the log."""
+        """Proposes a command to the log."""
         command = await stream.recv_message()
         try:
             answer = await asyncio.wait_for(
@@ -73,7 +74,7 @@
         await stream.send_message(reply)
 
     async def Follow(self, stream: server.Stream) -> None:  # noqa: N802
-        """Serves an entry's standing link."""
+        """Serves the link of an entry."""
         await self.followers.serve(stream)
 
     async def Document(self, stream: server.Stream) -> None:  # noqa: N802
@@ -85,7 +86,7 @@
         await stream.send_message(document)
 
     async def Confirm(self, stream: server.Stream) -> None:  # noqa: N802
-        """Answers which revision is the newest, as a majority knows it."""
+        """Answers with the newest revision, confirmed by a majority."""
         request = await stream.recv_message()
         reply = control_pb2.ConfirmReply()
         self.kept.put(request.kept, request.instance, time.monotonic())
@@ -101,7 +102,7 @@
             reply.controls.extend(self._log.addresses())
             reply.entry_count = self.followers.count_heard()
             reply.entries.extend(
-                self.followers.addresses(domain, ADDRESSES_TOLD)
+                self.followers.addresses(domain, MAX_ENTRY_ADDRESSES)
             )
             reply.placers.extend(self.followers.placers(domain))
             kept, reply.kept_number = self.kept.since(
@@ -113,7 +114,7 @@
         await stream.send_message(reply)
 
     async def Followers(self, stream: server.Stream) -> None:  # noqa: N802
-        """Answers with the entries heard of, and what they told."""
+        """Answers with the known entries and the data that they reported."""
         request = await stream.recv_message()
         reply = self.followers.rows()
         kept, reply.kept_number = self.kept.own_since(
--- a/cardamombarrow/peers/follower_exchange.py
+++ b/cardamombarrow/peers/follower_exchange.py
@@ -1,7 +1,7 @@
-"""Control processes tell each other which entries they hear and what these say.
+"""Exchange of the known entries and their data between control processes.
 
-An entry follows one control process; an operator may ask any. Each control
-process asks each other one at a fixed interval, one task per peer.
+An entry follows one control process, but an operator may query any. Each
+control process queries each other one at a fixed interval, one task per peer.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 
 class FollowerExchange(loop_module.LoopPart):
-    """Keeps a table of followers in step with the other controls'."""
+    """Merges the followers and data of the other control processes."""
 
     def __init__(
         self,
@@ -39,16 +39,17 @@
         metered: collecting.MeteringCollector,
         leads: abc.Callable[[], bool],
     ):
-        """Builds the exchange.
+        """Creates the exchange.
 
         Args:
-            loop: Where it runs.
-            controls: Returns the addresses of the others.
-            secret: What instances authenticate each other by.
-            table: The entries heard of.
-            kept: What entries tell of engines' caches.
-            metered: What entries count.
-            leads: Whether this process needs what other entries count.
+            loop: The loop on which it runs.
+            controls: Returns the addresses of the other control processes.
+            secret: Shared secret that authenticates the instances.
+            table: The known entries.
+            kept: What entries share about the caches of engines.
+            metered: Usage and demand counted by entries.
+            leads: Returns whether this process leads the log and therefore
+                needs the usage of all entries.
         """
         super().__init__(loop)
         self._controls = controls
@@ -60,10 +61,10 @@
         self._boot_clock = clock.BootClock()
 
     async def _run(self) -> None:
-        """Keeps one task for each other control process.
+        """Runs one task for each other control process.
 
-        They come and go while this process runs; asked by the settings alone,
-        one that took the place of another would never be heard.
+        Control processes are replaced while this one runs; a list from the
+        settings alone would never include a replacement.
         """
         tasks: dict[str, asyncio.Task[None]] = {}
         try:
@@ -73,37 +74,37 @@
                     tasks.pop(address).cancel()
                 for address in wanted - set(tasks):
                     tasks[address] = asyncio.create_task(
-                        self._ask_forever(address)
+                        self._poll_forever(address)
                     )
                 await asyncio.sleep(INTERVAL_S)
         finally:
             for task in tasks.values():
                 task.cancel()
 
-    async def _ask_forever(self, address: str) -> None:
+    async def _poll_forever(self, address: str) -> None:
         channel = secret_module.channel(address, self._secret)
-        asked = control_pb2.FollowersRequest()
+        request = control_pb2.FollowersRequest()
         try:
             while True:
                 await asyncio.sleep(INTERVAL_S)
-                asked.wants_usage = self._leads()
+                request.wants_usage = self._leads()
                 asked_s = self._boot_clock.now_s()
-                reply = await self._ask(channel, asked)
+                reply = await self._request_followers(channel, request)
                 if reply is not None:
-                    self._take(address, asked, asked_s, reply)
+                    self._apply(address, request, asked_s, reply)
                 else:
-                    # It may have gone silent: the next request gets a new
-                    # connection.
-                    asked = control_pb2.FollowersRequest()
+                    # The link may be silent: use a new connection for the
+                    # next request.
+                    request = control_pb2.FollowersRequest()
                     channel.close()
                     channel = secret_module.channel(address, self._secret)
         finally:
             channel.close()
 
-    async def _ask(
+    async def _request_followers(
         self, channel: client.Channel, request: control_pb2.FollowersRequest
     ) -> control_pb2.FollowersReply | None:
-        """Asks once; None where there was no answer."""
+        """Sends one request; returns None if there is no reply."""
         try:
             return await asyncio.wait_for(
                 control_grpc.ControlStub(channel).Followers(request), TIMEOUT_S
@@ -111,17 +112,17 @@
         except control_client.LINK_ERRORS:
             return None
 
-    def _take(
+    def _apply(
         self,
         address: str,
-        asked: control_pb2.FollowersRequest,
+        request: control_pb2.FollowersRequest,
         asked_s: float,
         reply: control_pb2.FollowersReply,
     ) -> None:
-        """Takes an answer, and notes in the question what it has told."""
+        """Applies a reply and sets its numbers in the next request."""
         self._table.merge(reply)
         self._kept.put(reply.kept, "", time.monotonic())
-        asked.kept_since = reply.kept_number
+        request.kept_since = reply.kept_number
         self._metered.merge_reply(address, asked_s, reply)
         if reply.usage_number:
-            asked.usage_since = reply.usage_number
+            request.usage_since = reply.usage_number
--- a/cardamombarrow/peers/followers.py
+++ b/cardamombarrow/peers/followers.py
@@ -1,9 +1,9 @@
-"""A control process's side of the standing links to entries.
+"""A control process's side of the links to entries.
 
-Reports of the applied revision come up, accepted documents go down. Both
-sides send at a fixed interval even when nothing changed, and each gives a
-link up on which it hears nothing: a link that has gone silent breaks no
-connection, so an entry on it would keep an old document unnoticed.
+It receives reports of the applied revision and sends accepted documents. Both
+sides send at a fixed interval even if nothing changed, and each closes a link
+on which it receives nothing: a silent link breaks no connection, so an entry
+on it would use an old document unnoticed.
 """
 
 import asyncio
@@ -26,16 +26,16 @@
 """Time between two messages to a follower while nothing changes."""
 
 FOLLOWER_TIMEOUT_S = 10.0
-"""A link on which no report came for this long is given up."""
+"""A link that received no report for this long is closed."""
 
-TEXTS_KEPT = 4
-"""Texts remembered to send only what changed. Edits come 41 s apart at the
-target size, so a follower is rarely further behind; one that is gets the whole
-text. Four texts are 2.1 MB there."""
+CACHED_TEXTS = 4
+"""Number of texts that are cached to send only changes. Edits come 41 s apart
+at the target size, so a follower is rarely further behind; if it is, it gets
+the whole text. Four texts take 2.1 MB there."""
 
-FOLLOWER_KEPT_S = 3_600.0
-"""An instance that vanished without a goodbye is listed for this long: it
-may be alive and cut off, with an old document in force."""
+FOLLOWER_TTL_S = 3_600.0
+"""How long an instance that disappeared without notice is listed: it may be
+alive and cut off, with an old document in force."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -45,8 +45,8 @@
     Attributes:
         heard_s: Monotonic time of its last report.
         address: Where other entries reach it.
-        places: Whether it places the requests of its domain.
-        direct: Whether it told this process itself.
+        places: Whether it is the placer of its domain.
+        direct: Whether it reports to this process.
     """
 
     instance: ids.InstanceId
@@ -59,7 +59,7 @@
 
 
 class Followers:
-    """All entries that were heard of; lives on the loop thread."""
+    """All known entries; runs on the loop thread."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._table: dict[ids.InstanceId, Follower] = {}
 
     def document(self) -> control_pb2.DocumentMessage:
-        """Returns the newest accepted document that is known here."""
+        """Returns the newest accepted document known here."""
         return control_pb2.DocumentMessage(
             revision=self._document.revision,
             text=self._document.text,
@@ -85,8 +85,8 @@
         )
 
     def table(self) -> dict[ids.InstanceId, Follower]:
-        """Returns the entries heard of here or by other control processes."""
-        oldest_s = time.monotonic() - FOLLOWER_KEPT_S
+        """Returns the entries that report to any control process."""
+        oldest_s = time.monotonic() - FOLLOWER_TTL_S
         return {
             instance: follower
             for instance, follower in list(self._table.items())
@@ -94,11 +94,11 @@
         }
 
     def rows(self) -> control_pb2.FollowersReply:
-        """Returns what another control process may not know.
+        """Returns the entries that another control process may not know.
 
-        Each asks each other one, so those that others hear are left out. Those
-        that nobody hears any more are told by all: the process that heard them
-        last may be gone.
+        Control processes query each other, so entries that report to another
+        one are left out. Entries that report to none are returned by all,
+        because the process that they last reported to may be gone.
         """
         now_s = time.monotonic()
         return control_pb2.FollowersReply(
@@ -118,10 +118,10 @@
         )
 
     def merge(self, reply: control_pb2.FollowersReply) -> None:
-        """Takes what another control process heard later than this one."""
+        """Applies the newer reports that another control process has."""
         now_s = time.monotonic()
         for row in reply.rows:
-            self._take(
+            self._update(
                 Follower(
                     ids.InstanceId(row.instance),
                     ids.DomainId(row.domain),
@@ -132,18 +132,18 @@
                 )
             )
 
-    def _take(self, follower: Follower) -> None:
+    def _update(self, follower: Follower) -> None:
         known = self._table.get(follower.instance)
         if known is None or follower.heard_s > known.heard_s:
             self._table[follower.instance] = follower
 
     def count_heard(self) -> int:
-        """Counts the entries of all domains that were heard of late."""
+        """Counts the entries of all domains that reported recently."""
         oldest_s = time.monotonic() - FOLLOWER_TIMEOUT_S
         return sum(f.heard_s >= oldest_s for f in self._table.values())
 
     def addresses(self, domain: ids.DomainId, most: int) -> list[str]:
-        """Returns addresses of entries of a domain, the last heard first."""
+        """Returns addresses of entries of a domain, the latest report first."""
         followers = sorted(
             (
                 follower
@@ -155,7 +155,7 @@
         return [follower.address for follower in followers[:most]]
 
     def placers(self, domain: ids.DomainId) -> list[str]:
-        """Returns addresses of entries that place for other domains."""
+        """Returns addresses of the placers of other domains."""
         oldest_s = time.monotonic() - FOLLOWER_TIMEOUT_S
         return sorted(
             follower.address
@@ -177,13 +177,13 @@
                 )
                 if formats.is_sectioned(accepted.format):
                     self._texts[revision] = accepted.text
-                for old in sorted(self._texts)[:-TEXTS_KEPT]:
+                for old in sorted(self._texts)[:-CACHED_TEXTS]:
                     del self._texts[old]
                 self._changes.clear()
                 self._changed.notify_all()
 
     def newer(self, applied: int) -> control_pb2.DocumentMessage:
-        """Returns what a follower lacks: nothing, changes, or the text."""
+        """Returns the update for a follower: nothing, changes or the text."""
         message = self.document()
         if message.revision <= applied:
             message.text = ""
@@ -202,13 +202,13 @@
         return message
 
     async def serve(self, stream: server.Stream) -> None:
-        """Takes reports and sends documents until the entry leaves."""
+        """Receives reports and sends documents until the entry leaves."""
         with contextlib.suppress(TimeoutError):
             report = await self._receive(stream)
             if report is None:
                 return
-            # An entry that comes back mostly has the newest document: only
-            # its first report tells what it lacks.
+            # An entry that reconnects mostly has the newest document; which
+            # changes are missing is known only after its first report.
             sender = asyncio.create_task(
                 self._send(stream, report.applied_revision)
             )
@@ -230,7 +230,7 @@
         if report.leaving:
             self._table.pop(instance, None)
         else:
-            self._take(
+            self._update(
                 Follower(
                     instance,
                     ids.DomainId(report.domain),
--- a/cardamombarrow/peers/kept_board.py
+++ b/cardamombarrow/peers/kept_board.py
@@ -1,12 +1,12 @@
-"""Passes on between entries which engines have read which parts of prompts.
+"""Relays between entries which engines have cached which parts of prompts.
 
-Each entry tells its control process with each question for a confirmation,
-and hears with the answer what the others told since. Control processes ask
-each other once a second for what their own entries told. So what crosses
-regions does not grow with the entries that hear it, no entry needs a link to
-those of other domains, and there is no message of its own.
+Each entry reports with each request for a confirmation, and gets the reports
+of other entries since then with the reply. Control processes query each other
+once a second for the reports of their own entries. The traffic between regions
+therefore does not grow with the number of receiving entries, no entry needs a
+link to other domains, and no extra messages are sent.
 
-All of it are hints: what is lost here is read once more by an engine.
+All reports are hints: if one is lost, an engine processes the part again.
 """
 
 import collections
@@ -19,31 +19,33 @@
 __all__ = ["KeptBoard"]
 
 LIFE_S = 5.0
-"""How long something is passed on: some questions of entries and of other
+"""How long a report is relayed: several requests of entries and of other
 control processes fit in."""
 
 GROUPS = 4_000
-"""Most groups of parts held: 80 entries that use 10 engines a second each."""
+"""Maximum number of stored groups of parts: 80 entries that use 10 engines a
+second each."""
 
 PARTS_TOLD = 2_000
-"""Most parts in one answer, 8 to 11 KB: 18 ms of a link of 5 Mbit/s."""
+"""Maximum number of parts in one reply, 8 to 11 KB: 18 ms on a link of
+5 Mbit/s."""
 
-MOST_AGE_MS = 60_000
+MAX_AGE_MS = 60_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Group:
     number: int
-    put_s: float
+    added_s: float
     instance: str
     parts: control_pb2.KeptParts
 
 
 class KeptBoard:
-    """What was told of late, in the order in which it came.
+    """Recent reports, in the order of arrival.
 
-    Numbers begin at a random place: whoever comes with a number of another
-    process, or of this one before a restart, gets all that is held.
+    Numbers begin at a random value, so that a number of another process, or of
+    this one before a restart, returns all stored reports.
     """
 
     def __init__(self, rng: random.Random):
@@ -54,33 +56,33 @@
 
     def put(
         self,
-        told: abc.Iterable[control_pb2.KeptParts],
+        reports: abc.Iterable[control_pb2.KeptParts],
         instance: str,
         now_s: float,
     ) -> None:
-        """Takes what an entry has told.
+        """Adds reports.
 
         Args:
-            told: The parts, by engine.
-            instance: The entry; empty where another control process passes
-                on what its entries told.
-            now_s: The time.
+            reports: The parts, by engine.
+            instance: The reporting entry; empty if another control process
+                relays the reports of its entries.
+            now_s: The current time.
         """
-        for parts in told:
+        for parts in reports:
             self._number += 1
             self._groups.append(_Group(self._number, now_s, instance, parts))
 
     def since(
         self, number: int, instance: str, now_s: float
     ) -> tuple[list[control_pb2.KeptParts], int]:
-        """Returns what an entry has not heard yet, and the number to ask with.
+        """Returns the reports that are new to an entry, and the next number.
 
         Args:
-            number: The number of the last answer.
-            instance: The entry; its own words are left out.
-            now_s: The time.
+            number: The number of the last reply.
+            instance: The entry; its own reports are left out.
+            now_s: The current time.
         """
-        return self._told(
+        return self._select(
             number, now_s, lambda group: group.instance != instance
         )
 
@@ -89,37 +91,37 @@
     ) -> tuple[list[control_pb2.KeptParts], int]:
         """Returns the same for another control process.
 
-        Only what entries told here: each control process asks each other one,
-        and what it passed on would come round again.
+        Only reports that entries sent here: control processes query each
+        other, so relayed reports would circulate between them.
         """
-        return self._told(number, now_s, lambda group: bool(group.instance))
+        return self._select(number, now_s, lambda group: bool(group.instance))
 
-    def _told(
+    def _select(
         self,
         number: int,
         now_s: float,
         is_wanted: abc.Callable[[_Group], bool],
     ) -> tuple[list[control_pb2.KeptParts], int]:
-        while self._groups and now_s - self._groups[0].put_s > LIFE_S:
+        while self._groups and now_s - self._groups[0].added_s > LIFE_S:
             self._groups.popleft()
         if not self._first <= number <= self._number:
             number = self._first
-        told: list[control_pb2.KeptParts] = []
+        reports: list[control_pb2.KeptParts] = []
         left = PARTS_TOLD
-        # The newest first: where there is too much, the oldest is left out.
+        # The newest first: beyond the limit, the oldest are left out.
         for group in reversed(self._groups):
             if group.number <= number or left <= 0:
                 break
             if is_wanted(group):
                 left -= len(group.parts.parts)
-                told.append(_aged(group, now_s))
-        return told, self._number
+                reports.append(_aged(group, now_s))
+        return reports, self._number
 
 
 def _aged(group: _Group, now_s: float) -> control_pb2.KeptParts:
-    """Returns parts with the age that they have by now."""
+    """Returns the parts of a group with their current age."""
     parts = control_pb2.KeptParts()
     parts.CopyFrom(group.parts)
-    held_ms = int((now_s - group.put_s) * 1_000)
-    parts.age_ms = min(parts.age_ms + held_ms, MOST_AGE_MS)
+    held_ms = int((now_s - group.added_s) * 1_000)
+    parts.age_ms = min(parts.age_ms + held_ms, MAX_AGE_MS)
     return parts
--- a/cardamombarrow/peers/kept_codec.py
+++ b/cardamombarrow/peers/kept_codec.py
@@ -1,4 +1,4 @@
-"""Between what is known of engines' caches and protobuf."""
+"""Conversion between hints about the caches of engines and protobuf."""
 
 from collections import abc
 
@@ -13,7 +13,7 @@
 def kept_to_wire(
     news: abc.Iterable[messages.KeptNews],
 ) -> list[control_pb2.KeptParts]:
-    """Converts what is new about engines' caches."""
+    """Converts hints about the caches of engines."""
     return [
         control_pb2.KeptParts(
             endpoint=rows.endpoint_hash(each.endpoint),
@@ -28,7 +28,7 @@
     wire: abc.Iterable[control_pb2.KeptParts],
     known: abc.Mapping[int, ids.EndpointId],
 ) -> list[messages.KeptNews]:
-    """Converts it back; leaves out endpoints that are not known here."""
+    """Converts hints back; leaves out endpoints that are not known here."""
     return [
         messages.KeptNews(
             known[each.endpoint], tuple(each.parts), each.age_ms / 1_000
--- a/cardamombarrow/peers/log_transport.py
+++ b/cardamombarrow/peers/log_transport.py
@@ -1,8 +1,8 @@
-"""Standing streams between control processes, for the replicated log.
+"""Long-lived streams between control processes, for the replicated log.
 
-One task per peer keeps one stream, written straight down: connect, send what
-is queued, ping, and connect anew when the link breaks or goes silent. What was
-queued for a broken link is dropped; the log sends again what matters.
+One task per peer maintains one stream: it connects, sends queued envelopes and
+pings, and reconnects when the link breaks or goes silent. Envelopes queued for
+a broken link are dropped; the log resends what is still needed.
 """
 
 import asyncio
@@ -27,43 +27,46 @@
 
 __all__ = ["LogService", "LogTransport"]
 
-PING_S = 1.0
-SILENT_S = 2.5
-"""A link whose pings got no answer for this long is replaced: the pings of two
-seconds. Until then a third voter passes messages on."""
+PING_INTERVAL_S = 1.0
+SILENCE_TIMEOUT_S = 2.5
+"""A link without an answer to its pings for this long, two pings, is replaced.
+Until then a third voter relays messages."""
 
-CONNECT_S = 2.0
-IDLE_S = 15.0
-"""A stream on which no peer sent anything, not even a ping, is ended."""
+CONNECT_TIMEOUT_S = 2.0
+IDLE_TIMEOUT_S = 15.0
+"""A stream that received nothing for this long, not even a ping, is closed."""
 
 RECONNECT_MIN_S = 0.1
 RECONNECT_MAX_S = 1.0
 
 QUEUE_LIMIT = 2_000
-"""Envelopes that wait for a link; older ones are dropped."""
+"""Maximum number of queued envelopes per link; the oldest are dropped."""
 
 PACKET_LIMIT = 64
-"""Envelopes of one packet: with entries of at most 256 KB each, far under the
-message limit of 4 MB in what is usual, and each is sent at least alone."""
+"""Maximum number of envelopes in one packet. With entries of at most 256 KB,
+packets usually stay far below the message limit of 4 MB; an envelope of any
+size is sent at least by itself."""
 
 PACKET_LIMIT_BYTES = 1_000_000
 
 
 class LogService(log_grpc.LogBase):
-    """Takes what other members send; lives on the loop thread."""
+    """Receives the packets of other members; runs on the loop thread."""
 
     def __init__(self):
         self._receive: driver.Receive | None = None
 
     def attach(self, receive: driver.Receive | None) -> None:
-        """Sets who takes the envelopes."""
+        """Sets the receiver of the envelopes."""
         self._receive = receive
 
     async def Exchange(self, stream: server.Stream) -> None:  # noqa: N802
-        """Takes packets until the peer or the link ends."""
+        """Receives packets until the peer closes the stream or times out."""
         with contextlib.suppress(TimeoutError):
             while True:
-                packet = await asyncio.wait_for(stream.recv_message(), IDLE_S)
+                packet = await asyncio.wait_for(
+                    stream.recv_message(), IDLE_TIMEOUT_S
+                )
                 if packet is None:
                     return
                 if packet.envelopes and self._receive is not None:
@@ -76,7 +79,7 @@
 
 
 class _Link:
-    """One task: the stream to one address."""
+    """The stream to one address, run by one task."""
 
     def __init__(self, address: str, secret: str, sender: str):
         self._address = address
@@ -100,7 +103,7 @@
             channel = secret_module.channel(self._address, self._secret)
             started_s = asyncio.get_running_loop().time()
             try:
-                await self._keep(channel)
+                await self._run_stream(channel)
             except control_client.LINK_ERRORS as error:
                 logs.event(
                     "log link lost",
@@ -110,16 +113,19 @@
                 )
             finally:
                 channel.close()
-            if asyncio.get_running_loop().time() - started_s > SILENT_S:
+            if (
+                asyncio.get_running_loop().time() - started_s
+                > SILENCE_TIMEOUT_S
+            ):
                 pause_s = RECONNECT_MIN_S
             await asyncio.sleep(random.uniform(RECONNECT_MIN_S / 2, pause_s))
             pause_s = min(pause_s * 2, RECONNECT_MAX_S)
             self._queue.clear()
 
-    async def _keep(self, channel: client.Channel) -> None:
+    async def _run_stream(self, channel: client.Channel) -> None:
         stub = log_grpc.LogStub(channel)
         async with stub.Exchange.open() as stream:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await stream.send_message(self._packet(ping=1))
             self._answered_s = asyncio.get_running_loop().time()
             reader = asyncio.create_task(self._read(stream))
@@ -137,17 +143,17 @@
         self, stream: client.Stream, reader: asyncio.Task
     ) -> None:
         loop = asyncio.get_running_loop()
-        ping, ping_due_s = 1, loop.time() + PING_S
+        ping, ping_due_s = 1, loop.time() + PING_INTERVAL_S
         while not reader.done():
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout_at(ping_due_s):
                     await self._wake.wait()
             is_due = loop.time() >= ping_due_s
             if is_due:
-                ping, ping_due_s = ping + 1, loop.time() + PING_S
-            if loop.time() - self._answered_s > SILENT_S:
+                ping, ping_due_s = ping + 1, loop.time() + PING_INTERVAL_S
+            if loop.time() - self._answered_s > SILENCE_TIMEOUT_S:
                 raise TimeoutError("no answer to pings")
-            async with asyncio.timeout(SILENT_S):
+            async with asyncio.timeout(SILENCE_TIMEOUT_S):
                 await stream.send_message(self._packet(ping if is_due else 0))
         reader.result()
 
@@ -174,26 +180,26 @@
         service: LogService,
         addresses: dict[str, str],
     ):
-        """Makes a transport.
+        """Creates a transport.
 
         Args:
             loop: The loop thread.
             secret: The shared secret.
-            service: What takes the envelopes of others.
-            addresses: Addresses by instance name, from the settings. They go
-                before those of the membership, since a peer may have to be
-                reached in another way from here.
+            service: Receives the envelopes of other members.
+            addresses: Addresses by instance name, from the settings. They
+                override those of the membership, since a peer may have another
+                address when reached from here.
         """
         self._loop = loop
         self._secret = secret
         self._service = service
         self._addresses = addresses
         self._links: dict[str, _Link] = {}
-        self._me = ""
+        self._own_id = ""
 
     def start(self, me: membership.Member, receive: driver.Receive) -> None:
         """See `driver.Transport.start`."""
-        self._me = me.id
+        self._own_id = me.id
         self._service.attach(receive)
 
     def stop(self) -> None:
@@ -229,5 +235,7 @@
     ) -> None:
         for address, wire in by_address:
             if address not in self._links:
-                self._links[address] = _Link(address, self._secret, self._me)
+                self._links[address] = _Link(
+                    address, self._secret, self._own_id
+                )
             self._links[address].put(wire)
--- a/cardamombarrow/peers/loop.py
+++ b/cardamombarrow/peers/loop.py
@@ -1,8 +1,8 @@
 """The one asyncio loop of a process.
 
-grpclib needs a loop. It runs in one thread and is reached only through
-`LoopThread.call`, which gives a `concurrent.futures.Future`; the rest of the
-project is threads.
+grpclib needs an event loop. It runs in one thread and is used through
+`LoopThread.call`, which returns a `concurrent.futures.Future`; the rest of the
+project uses threads.
 """
 
 import abc
@@ -34,7 +34,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Cancels what still runs and ends the thread."""
+        """Cancels all running tasks and ends the thread."""
         asyncio.run_coroutine_threadsafe(self._cancel_all(), self._loop).result(
             timeout=5
         )
@@ -58,14 +58,14 @@
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
     def soon(self, callback: collections_abc.Callable[[], None]) -> None:
-        """Has something done on the loop, from any thread."""
+        """Schedules a callback on the loop, from any thread."""
         with contextlib.suppress(RuntimeError):
-            # A loop that has ended has nobody left who waits for it.
+            # After the loop is closed, nothing waits for the callback.
             self._loop.call_soon_threadsafe(callback)
 
 
 class LoopPart(lifecycle.Part):
-    """A part that is one task on the loop for as long as it is started."""
+    """A part that consists of one task on the loop."""
 
     def __init__(self, loop: LoopThread):
         self._loop = loop
@@ -81,4 +81,4 @@
 
     @abc.abstractmethod
     async def _run(self) -> None:
-        """Does the part's work until it is cancelled."""
+        """Runs until it is cancelled."""
--- a/cardamombarrow/peers/packing.py
+++ b/cardamombarrow/peers/packing.py
@@ -1,9 +1,9 @@
-"""Texts as they cross from one control process to others.
+"""Compression of texts that are sent between control processes.
 
-A document of many routes repeats the same names over and over. Unpacked, each
-edition went to every other control process whole, from the one that was asked
-to the leader and from there to each follower; between regions that costs more
-than all other messages of a control process together.
+A document with many routes repeats the same names. Each edition is sent from
+the control process that received it to the leader and from there to all
+others; uncompressed, this takes more traffic between regions than all other
+messages of a control process together.
 """
 
 import zlib
@@ -11,24 +11,24 @@
 __all__ = ["MOST_BYTES", "pack", "unpack"]
 
 MOST_BYTES = 64_000_000
-"""Most bytes of a text; far above what an operator may hand in."""
+"""Maximum size of a text; far above the limit for a submitted document."""
 
 
 def pack(text: str) -> bytes:
-    """Returns a text packed (zlib, RFC 1950)."""
+    """Compresses a text (zlib, RFC 1950)."""
     return zlib.compress(text.encode())
 
 
 def unpack(packed: bytes, most_bytes: int | None = None) -> str:
-    """Returns a packed text.
+    """Decompresses a text.
 
     Args:
-        packed: What `pack` gave.
-        most_bytes: Longest text, `MOST_BYTES` where it is not told; 0 is
-            without bound.
+        packed: A result of `pack`.
+        most_bytes: Maximum size of the text; `MOST_BYTES` by default, 0 for
+            no limit.
 
     Raises:
-        ValueError: It is no packed text, is cut short or is too long.
+        ValueError: The data is not a packed text, is truncated or too long.
     """
     unpacker = zlib.decompressobj()
     if most_bytes is None:
@@ -36,7 +36,7 @@
     try:
         data = unpacker.decompress(packed, most_bytes)
     except zlib.error as error:
-        raise ValueError(f"no packed text: {error}") from None
+        raise ValueError(f"not a packed text: {error}") from None
     if not unpacker.eof:
-        raise ValueError("a packed text is cut short or too long")
+        raise ValueError("the packed text is truncated or too long")
     return data.decode()
--- a/cardamombarrow/peers/secret.py
+++ b/cardamombarrow/peers/secret.py
@@ -1,14 +1,14 @@
 """Authentication between the system's own processes by a shared secret.
 
-The secret itself never travels. Each request carries the time, a random nonce
-and an HMAC-SHA256 over both and the method's name; a server takes a request
-only if the HMAC fits, the time is near its own, and the nonce is new. A
-standing stream is authenticated when it is opened.
+The secret itself is never sent. Each request contains the time, a random nonce
+and an HMAC-SHA256 over both and the method's name; a server accepts a request
+only if the HMAC matches, the time is close to its own, and the nonce is new. A
+long-lived stream is authenticated when it is opened.
 
 Notes:
     Clocks of instances have to agree within `TIME_WINDOW_S`. Message bodies
-    are not covered: this keeps out who can reach the port or listen, not who
-    can change packets on the way.
+    are not covered: this protects against attackers that can reach the port
+    or eavesdrop, but not against those that can modify packets.
 """
 
 from collections import abc
@@ -27,7 +27,7 @@
 HEADER = "x-cardamombarrow-auth"
 
 TIME_WINDOW_S = 60.0
-"""How far the time in a token may be from the server's own."""
+"""Maximum difference between the time in a token and the server's clock."""
 
 NONCE_BYTES = 12
 
@@ -50,7 +50,7 @@
 
 
 def channel(address: str, secret: str) -> client.Channel:
-    """Returns a channel whose every request carries a token.
+    """Returns a channel that adds a token to each request.
 
     Args:
         address: ``host:port`` of the other instance.
@@ -67,7 +67,7 @@
 
 
 class Guard:
-    """Judges tokens; keeps the nonces of the time window."""
+    """Checks tokens and stores the nonces of the time window."""
 
     def __init__(
         self, secret: str, wall_clock: abc.Callable[[], float] = time.time
@@ -76,11 +76,11 @@
         self._wall_clock = wall_clock
         self._seen: dict[str, float] = {}
 
-    def refuse(self, shown: str, method: str) -> str | None:
-        """Returns why a token is not taken, or None when it is."""
+    def refuse(self, presented: str, method: str) -> str | None:
+        """Returns why a token is rejected, or None if it is accepted."""
         now_unix_s = self._wall_clock()
         try:
-            raw_time, nonce, mac = shown.split(":")
+            raw_time, nonce, mac = presented.split(":")
             at_unix_s = float(raw_time)
         except ValueError:
             return "missing or malformed token"
@@ -89,15 +89,16 @@
             return "wrong secret"
         if abs(now_unix_s - at_unix_s) > TIME_WINDOW_S:
             return "clocks differ too much, or an old token"
-        self._forget(now_unix_s)
+        self._discard_old(now_unix_s)
         if nonce in self._seen:
-            # Someone who listened on the network sends a token again.
+            # A token that was captured on the network is replayed.
             return "token used before"
         self._seen[nonce] = at_unix_s
         return None
 
-    def _forget(self, now_unix_s: float) -> None:
-        # A token dated ahead stays valid for up to twice the window.
+    def _discard_old(self, now_unix_s: float) -> None:
+        # A token from a clock that is ahead stays valid for up to twice the
+        # window.
         oldest_unix_s = now_unix_s - 2 * TIME_WINDOW_S
         for nonce, at_unix_s in list(self._seen.items()):
             if at_unix_s >= oldest_unix_s:
@@ -108,17 +109,17 @@
 def guard(server: object, secret: str) -> None:
     """Makes a grpclib server refuse every request without a valid token.
 
-    Without it, anyone who reaches the port could propose edits or claims.
+    Without it, anyone with access to the port could propose edits or claims.
 
     Args:
         server: A `grpclib.server.Server`.
         secret: The shared secret.
     """
-    judge = Guard(secret)
+    token_guard = Guard(secret)
 
     async def check(event: events.RecvRequest) -> None:
-        shown = str(event.metadata.get(HEADER, ""))
-        reason = judge.refuse(shown, event.method_name)
+        presented = str(event.metadata.get(HEADER, ""))
+        reason = token_guard.refuse(presented, event.method_name)
         if reason is not None:
             raise exceptions.GRPCError(const.Status.UNAUTHENTICATED, reason)
 
--- a/cardamombarrow/peers/server.py
+++ b/cardamombarrow/peers/server.py
@@ -1,4 +1,4 @@
-"""The port on which an entry listens for other instances."""
+"""gRPC server on which an entry listens for other instances."""
 
 from grpclib import server
 
@@ -12,7 +12,7 @@
 
 
 class PeerServer(lifecycle.Part):
-    """Serves grpclib services to instances that know the secret."""
+    """Serves grpclib services to instances that have the secret."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         await self._server.start(self._host, self._port)
 
     def stop(self) -> None:
-        """Stops listening; open streams end."""
+        """Stops listening and closes open streams."""
         self._loop.call(self._stop()).result(timeout=START_TIMEOUT_S)
 
     async def _stop(self) -> None:
--- a/cardamombarrow/peers/tests/test_confirmations.py
+++ b/cardamombarrow/peers/tests/test_confirmations.py
@@ -1,4 +1,4 @@
-"""Who asks shares a round of the log, but never one that began before."""
+"""Confirmations share a round of the log that begins after the request."""
 
 import asyncio
 from concurrent import futures
@@ -9,7 +9,7 @@
 
 
 class _Log(local.LocalLog):
-    """Hands out barriers that the test ends."""
+    """Returns barriers that the test completes."""
 
     def __init__(self):
         self.barriers = []
@@ -24,15 +24,15 @@
         await asyncio.sleep(0)
 
 
-def test_those_who_ask_during_a_round_share_the_next_one():
-    # A change is accepted while a round is under way. An entry that asks then
-    # must not be told by that round that nothing newer was accepted.
+def test_requests_during_a_round_share_the_next_one():
+    # A change is accepted during a round. A request after that must not be
+    # answered by this round, which does not cover the change.
     async def run():
         log = _Log()
-        asked = confirmations.Confirmations(log)
-        first = asyncio.create_task(asked.confirm())
+        batcher = confirmations.Confirmations(log)
+        first = asyncio.create_task(batcher.confirm())
         await _settle()
-        later = [asyncio.create_task(asked.confirm()) for _ in range(3)]
+        later = [asyncio.create_task(batcher.confirm()) for _ in range(3)]
         await _settle()
         assert len(log.barriers) == 1
         log.barriers[0].set_result(b"")
@@ -46,16 +46,16 @@
     asyncio.run(run())
 
 
-def test_a_round_that_waits_for_a_leader_does_not_hold_up_the_next_one():
-    # All were restarted. The first entry asks before there is a leader; its
-    # round waits for one. Those who ask a moment later waited for that round
-    # and then for one of their own, and their callers with them.
+def test_a_round_that_waits_for_a_leader_does_not_delay_the_next_one():
+    # After a restart of all processes, the first request comes before there is
+    # a leader and its round waits for one. Requests shortly after that waited
+    # for this round and then for another one, and so did their callers.
     async def run():
         log = _Log()
-        asked = confirmations.Confirmations(log)
-        first = asyncio.create_task(asked.confirm())
+        batcher = confirmations.Confirmations(log)
+        first = asyncio.create_task(batcher.confirm())
         await _settle()
-        later = asyncio.create_task(asked.confirm())
+        later = asyncio.create_task(batcher.confirm())
         await asyncio.sleep(1.5 * confirmations.OVERLAP_S)
         assert len(log.barriers) == 2
         for barrier in log.barriers:
@@ -69,14 +69,14 @@
 def test_without_a_majority_nothing_is_confirmed():
     async def run():
         log = _Log()
-        asked = confirmations.Confirmations(log)
-        task = asyncio.create_task(asked.confirm())
+        batcher = confirmations.Confirmations(log)
+        task = asyncio.create_task(batcher.confirm())
         await _settle()
         log.barriers[0].set_exception(
             errors.UnavailableError(errors.ErrorKind.NO_QUORUM, "cut off")
         )
         assert not await task
-        again = asyncio.create_task(asked.confirm())
+        again = asyncio.create_task(batcher.confirm())
         await asyncio.sleep(0.01)
         log.barriers[1].set_result(b"")
         assert await again
--- a/cardamombarrow/peers/tests/test_control_client.py
+++ b/cardamombarrow/peers/tests/test_control_client.py
@@ -1,4 +1,4 @@
-"""Which control process an entry follows."""
+"""Choice of the control process that an entry follows."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 class _Control:
-    """One control process's side of the links."""
+    """The server side of one control process."""
 
     def __init__(self, loop, port, domain):
         log = local.LocalLog(domain, state.ControlState())
@@ -48,10 +48,10 @@
     thread.stop()
 
 
-def test_an_entry_goes_to_its_own_domains_control_once_that_is_there(loop):
-    # Entries and control processes start together, and the nearest control
-    # process is the last to listen. The entry follows another one and stays:
-    # every document then comes from another region, for as long as it runs.
+def test_an_entry_moves_to_the_control_process_of_its_own_domain(loop):
+    # Entries and control processes start together, and the control process of
+    # the own domain is the last to listen. If the entry stayed with another
+    # one, it would get every document from another region.
     ports = deployment.free_ports(2)
     far = _Control(loop, ports[0], "far")
     client = control_client.ControlClient(
--- a/cardamombarrow/peers/tests/test_followers.py
+++ b/cardamombarrow/peers/tests/test_followers.py
@@ -1,4 +1,4 @@
-"""What a control process sends to the entries that follow it."""
+"""Documents and tables of followers that a control process sends."""
 
 import asyncio
 
@@ -38,14 +38,14 @@
 
 @pytest.mark.parametrize("applied", [0, 1])
 def test_a_follower_far_behind_gets_the_whole_text(published, applied):
-    # An entry was cut off for long. Changes of a text that the control
-    # process no longer has can't be worked out.
+    # An entry was cut off for long. Changes to a text that the control
+    # process no longer has can't be computed.
     table, texts = published
     assert table.newer(applied).text == texts[9]
 
 
 @pytest.mark.parametrize("applied", [9, 12])
-def test_a_follower_that_has_it_gets_no_document(published, applied):
+def test_an_up_to_date_follower_gets_no_document(published, applied):
     table, _ = published
     message = table.newer(applied)
     assert not message.text
@@ -58,18 +58,18 @@
     )
 
 
-def test_what_others_hear_is_not_told_back_to_them():
-    # Guards against bytes between regions that grow with the square of the
-    # control processes.
+def test_followers_of_other_control_processes_are_not_sent_back():
+    # Guards against traffic between regions that grows with the square of the
+    # number of control processes.
     table = followers.Followers(lambda: True)
     table.merge(control_pb2.FollowersReply(rows=[_row("entry-1", 0.5)]))
     assert "entry-1" in table.table()
     assert not table.rows().rows
 
 
-def test_an_entry_that_nobody_hears_is_told_by_all():
-    # Guards against an entry that is forgotten with the control process that
-    # heard it last.
+def test_an_entry_without_recent_reports_is_sent_by_all():
+    # Guards against an entry that is lost together with the control process
+    # that it last reported to.
     table = followers.Followers(lambda: True)
     table.merge(control_pb2.FollowersReply(rows=[_row("entry-1", 60.0)]))
     assert [row.instance for row in table.rows().rows] == ["entry-1"]
--- a/cardamombarrow/peers/tests/test_gossip_node.py
+++ b/cardamombarrow/peers/tests/test_gossip_node.py
@@ -1,4 +1,4 @@
-"""Gossip nodes over loopback: joining, news, documents, the gone."""
+"""Gossip nodes over loopback: joining, changes, documents, failures."""
 
 import contextlib
 
@@ -21,7 +21,7 @@
 
     def __init__(self, name, address, seeds, domain="nuwara-a"):
         self.items = {}
-        self.heard = {}
+        self.received = {}
         self.gone = []
         self.vanished = False
         self.document = control_pb2.DocumentMessage(revision=1, text="one")
@@ -53,7 +53,7 @@
 
     def _on_changes(self, changes, now_s):
         for instance, key, value in changes.items:
-            self.heard[instance, key] = value
+            self.received[instance, key] = value
         return bool(changes.items)
 
     def _on_document(self, revision, text, format_name):
@@ -65,7 +65,7 @@
         return {row.instance for row in self.node.table.live()}
 
     def vanish(self):
-        """Ends without a goodbye; its connections stay open."""
+        """Stops without notice; its connections stay open."""
         if not self.vanished:
             self.loop.stop()
         self.vanished = True
@@ -73,7 +73,7 @@
 
 @pytest.fixture
 def start(monkeypatch):
-    """Starts nodes that know the first one only; rounds are quick."""
+    """Starts nodes with the first one as their seed, and short intervals."""
     monkeypatch.setattr(gossip_node, "INTERVAL_S", 0.1)
     monkeypatch.setattr(gossip_node, "PULL_GRACE_S", 0.2)
     monkeypatch.setattr(table_module, "DEAD_AGE_S", 2.0)
@@ -92,31 +92,31 @@
         yield start_nodes
 
 
-def _all_know(nodes):
+def _all_connected(nodes):
     names = {node.node.table.own.instance for node in nodes}
     return deployment.wait_until(
         lambda: all(node.members() == names for node in nodes)
     )
 
 
-def test_nodes_that_know_one_seed_find_each_other_and_hear_news(start):
+def test_nodes_with_one_seed_find_each_other_and_receive_changes(start):
     nodes = start(5)
-    assert _all_know(nodes)
+    assert _all_connected(nodes)
     key = (rows.ItemKind.LEAVING, "10.0.0.9:8000")
     nodes[4].items = {key: True}
     nodes[4].node.wake()
     assert deployment.wait_until(
-        lambda: all(n.heard.get(("entry-4", key)) for n in nodes[:4])
+        lambda: all(n.received.get(("entry-4", key)) for n in nodes[:4])
     )
 
 
 @pytest.mark.parametrize("goodbye", [False, True])
 def test_a_node_that_is_gone_is_dropped_and_its_stream_closed(start, goodbye):
-    # An instance is replaced, with a goodbye, or loses its power, and no
-    # connection ends. Streams to instances that are replaced day by day would
-    # pile up until memory is short.
+    # An instance is replaced and announces its shutdown, or loses power, which
+    # closes no connection. Streams to instances that are replaced daily would
+    # accumulate until memory runs out.
     nodes = start(3)
-    assert _all_know(nodes)
+    assert _all_connected(nodes)
     gone = nodes.pop()
     address = gone.node.table.own.head.address
     for node in nodes:
@@ -132,9 +132,9 @@
         )
 
 
-def test_a_newer_document_is_taken_from_another_node(start):
+def test_a_newer_document_is_fetched_from_another_node(start):
     nodes = start(2)
-    assert _all_know(nodes)
+    assert _all_connected(nodes)
     nodes[1].document = control_pb2.DocumentMessage(revision=7, text="seven")
     assert deployment.wait_until(lambda: nodes[0].document.revision == 7)
     assert nodes[0].document.text == "seven"
--- a/cardamombarrow/peers/tests/test_membership.py
+++ b/cardamombarrow/peers/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""What an entry tells the others of its domain at once."""
+"""Changes that an entry passes on at once to the others of its domain."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 class _Broker:
-    """Asks for nothing and keeps nothing."""
+    """A broker without demand or state."""
 
     def demand(self):
         return messages.PeerDemand(ids.InstanceId("e"), {}, {}, 0.0)
@@ -58,8 +58,8 @@
         self.membership.share_listing(self.watch)
         self._clock = time_source
 
-    def tell(self, other):
-        """Tells another entry; returns whether that one passes it on."""
+    def send_to(self, other):
+        """Sends changes to another entry; returns whether it passes them on."""
         now_s = self._clock.now_s()
         head = rows.RowHeader("a", 1)
         self.table.update(head, self.membership.collect(now_s), now_s)
@@ -75,26 +75,26 @@
     return time_source, made
 
 
-def test_a_reading_of_the_list_is_passed_on_at_once(entries):
-    # Told with the usual rounds only, a reading takes some seconds to reach a
-    # dozen entries. The list of the last ones has grown old by then, and they
-    # read it themselves: three of four calls to the platform were theirs.
+def test_a_fetched_list_is_passed_on_at_once(entries):
+    # By regular rounds, a fetched list takes some seconds to reach a dozen
+    # entries. The list of the last ones is too old by then, and they fetch it
+    # themselves: three of four calls to the platform were theirs.
     time_source, (reader, one, two) = entries
     for step in range(3):
         time_source.advance(2.0)
         reader.watch.refresh()
         assert reader.membership.urgent(), step
-        assert reader.tell(one)
+        assert reader.send_to(one)
         assert not reader.membership.urgent()
-        reader.tell(two)
+        reader.send_to(two)
         assert one.watch._read_s == two.watch._read_s == reader.watch._read_s
 
 
-def test_a_reading_that_is_known_is_not_passed_on(entries):
+def test_a_known_list_is_not_passed_on(entries):
     time_source, (reader, one, two) = entries
     reader.watch.refresh()
-    reader.tell(one)
-    reader.tell(two)
+    reader.send_to(one)
+    reader.send_to(two)
     time_source.advance(1.0)
-    assert not reader.tell(one)
-    assert not one.tell(two)
+    assert not reader.send_to(one)
+    assert not one.send_to(two)
--- a/cardamombarrow/peers/tests/test_packing.py
+++ b/cardamombarrow/peers/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""Texts that cross between control processes."""
+"""Compression of texts that are sent between control processes."""
 
 import zlib
 
@@ -10,13 +10,13 @@
 
 
 @hypothesis.given(strategies.text())
-def test_a_text_comes_back_as_it_was(text):
+def test_a_text_survives_packing(text):
     assert packing.unpack(packing.pack(text)) == text
 
 
-def test_a_document_of_many_routes_is_small_on_the_way():
-    # Sent as they are, the editions of a storm of changes cost more between
-    # regions than all that callers ask and get.
+def test_a_document_with_many_routes_is_compressed_well():
+    # Uncompressed, the editions of a burst of changes take more traffic
+    # between regions than all requests and answers of callers.
     route = '{{"name":"r-{0}","host":"a.example","path":"/{0}/"}}'
     text = ",".join(route.format(number) for number in range(350))
     assert len(packing.pack(text)) < len(text) / 5
@@ -33,6 +33,6 @@
     ],
     ids=["empty", "plain", "cut", "no UTF-8", "too long"],
 )
-def test_what_is_no_packed_text_is_refused(packed):
+def test_invalid_packed_data_is_rejected(packed):
     with pytest.raises(ValueError):
         packing.unpack(packed)
--- a/cardamombarrow/peers/tests/test_rate_limit_news.py
+++ b/cardamombarrow/peers/tests/test_rate_limit_news.py
@@ -1,4 +1,4 @@
-"""Rate limits on their way between the instances of a domain."""
+"""Sharing of rate limits between the instances of a domain."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 class _Broker:
-    """Keeps what it hears, without a dispatcher."""
+    """Stores rate limits, without a dispatcher."""
 
     def __init__(self):
         self.limits = rate_limits.RateLimits()
@@ -33,8 +33,8 @@
         return before is not None
 
 
-def _sent(items, now_s):
-    """Sends a row's items to an instance whose clock is 1,000 s ahead."""
+def _transmit(items, now_s):
+    """Converts a row's items for an instance whose clock is 1,000 s ahead."""
     delta = rows.RowDelta(
         ids.InstanceId("e"), 1, 2, 1, 0.0, rows.RowHeader("a", 1), items
     )
@@ -45,16 +45,16 @@
 
 @pytest.mark.parametrize("per_s", [0.0, 1.2, None])
 def test_a_limit_and_its_end_arrive_with_their_age(per_s):
-    items = _sent([(_KEY, _limit(per_s, 7.5))], 10.0)
+    items = _transmit([(_KEY, _limit(per_s, 7.5))], 10.0)
     assert items == [(_KEY, _limit(per_s, 1_007.5))]
 
 
 def test_a_removed_limit_arrives_as_removed():
-    assert _sent([(_KEY, None)], 10.0) == [(_KEY, None)]
+    assert _transmit([(_KEY, None)], 10.0) == [(_KEY, None)]
 
 
-def test_a_changed_limit_is_urgent_until_it_was_told():
-    # Guards against the seconds in which all others go on sending.
+def test_a_changed_limit_is_urgent_until_it_is_published():
+    # Guards against a delay of seconds in which all others keep sending.
     broker = _Broker()
     news = rate_limit_news.RateLimitNews(broker)
     assert not news.is_urgent()
@@ -66,18 +66,18 @@
         assert not news.is_urgent()
 
 
-def test_a_limit_that_is_stated_again_is_seldom_told_again():
+def test_a_limit_that_is_stated_again_is_rarely_published_again():
     broker = _Broker()
     news = rate_limit_news.RateLimitNews(broker)
-    told = set()
+    published_s = set()
     for step in range(100):
         broker.now_s = step * 0.1
         broker.limits.hear(_ENDPOINT, _limit(1.0, broker.now_s))
-        told.add(news.collect()[_KEY].heard_s)
-    assert len(told) <= 100 * 0.1 / rate_limit_news.RENEWAL_S + 1
+        published_s.add(news.collect()[_KEY].heard_s)
+    assert len(published_s) <= 100 * 0.1 / rate_limit_news.RENEWAL_S + 1
 
 
-def test_an_older_word_of_another_instance_changes_nothing():
+def test_an_older_limit_of_another_instance_changes_nothing():
     broker = _Broker()
     news = rate_limit_news.RateLimitNews(broker)
     broker.limits.hear(_ENDPOINT, _limit(None, 5.0))
--- a/cardamombarrow/peers/tests/test_secret.py
+++ b/cardamombarrow/peers/tests/test_secret.py
@@ -1,4 +1,4 @@
-"""No request between instances is taken unauthenticated."""
+"""Requests between instances are rejected without authentication."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 _METHOD = "/service/Method"
 
 
-def _judge(now_s=1_000.0):
+def _guard(now_s=1_000.0):
     return secret.Guard("right-secret-0123", lambda: now_s)
 
 
@@ -43,28 +43,28 @@
         "from the future",
     ],
 )
-def test_a_token_that_does_not_fit_is_refused(shown, reason):
-    assert reason in _judge().refuse(shown, _METHOD)
+def test_an_invalid_token_is_rejected(shown, reason):
+    assert reason in _guard().refuse(shown, _METHOD)
 
 
-def test_a_token_is_good_once():
-    # Someone records a request between two instances and sends it again; a
-    # claim or an edit would be proposed in another's name.
-    judge = _judge()
+def test_a_token_is_accepted_once():
+    # An attacker records a request between two instances and replays it; a
+    # claim or an edit would be proposed in the name of another instance.
+    guard = _guard()
     shown = secret.token("right-secret-0123", _METHOD, 1_000.0)
-    assert judge.refuse(shown, _METHOD) is None
-    assert judge.refuse(shown, _METHOD) == "token used before"
+    assert guard.refuse(shown, _METHOD) is None
+    assert guard.refuse(shown, _METHOD) == "token used before"
 
 
-def test_nonces_are_forgotten_only_once_their_tokens_are_too_old():
+def test_nonces_are_discarded_only_when_their_tokens_are_too_old():
     now_s = [1_000.0]
-    judge = secret.Guard("right-secret-0123", lambda: now_s[0])
+    guard = secret.Guard("right-secret-0123", lambda: now_s[0])
     ahead = secret.token("right-secret-0123", _METHOD, 1_059.0)
-    assert judge.refuse(ahead, _METHOD) is None
+    assert guard.refuse(ahead, _METHOD) is None
     now_s[0] = 1_118.0
     other = secret.token("right-secret-0123", _METHOD, 1_118.0)
-    assert judge.refuse(other, _METHOD) is None
-    assert judge.refuse(ahead, _METHOD) == "token used before"
+    assert guard.refuse(other, _METHOD) is None
+    assert guard.refuse(ahead, _METHOD) == "token used before"
 
 
 class _NoMachine:
@@ -95,5 +95,5 @@
 
 
 @pytest.mark.parametrize("shown_secret", [None, "wrong-secret-0123"])
-def test_a_server_refuses_requests_without_the_secret(shown_secret):
+def test_a_server_rejects_requests_without_the_secret(shown_secret):
     asyncio.run(_propose(shown_secret))
