--- a/cardamombarrow/peers/control_client.py
+++ b/cardamombarrow/peers/control_client.py
@@ -343,7 +343,7 @@
     def propose(
         self, command: control_pb2.Command, timeout_s: float
     ) -> futures.Future[control_pb2.Reply]:
-        """Hands a command to the log by way of any control process.
+        """Proposes a command to the log through any control process.
 
         A command may be submitted more than once if a reply was lost; the
         state machines apply each command only once.
--- a/cardamombarrow/peers/control_service.py
+++ b/cardamombarrow/peers/control_service.py
@@ -105,10 +105,10 @@
                 self.followers.addresses(domain, MAX_ENTRY_ADDRESSES)
             )
             reply.placers.extend(self.followers.placers(domain))
-            kept, reply.kept_number = self.kept.since(
+            reports, reply.kept_number = self.kept.since(
                 request.kept_since, request.instance, time.monotonic()
             )
-            reply.kept.extend(kept)
+            reply.kept.extend(reports)
             reply.unix_s = self.metered.unix_s()
             reply.boot = self.metered.boot
         await stream.send_message(reply)
@@ -117,9 +117,9 @@
         """Answers with the known entries and the data that they reported."""
         request = await stream.recv_message()
         reply = self.followers.rows()
-        kept, reply.kept_number = self.kept.own_since(
+        reports, reply.kept_number = self.kept.own_since(
             request.kept_since, time.monotonic()
         )
-        reply.kept.extend(kept)
+        reply.kept.extend(reports)
         self.metered.fill_reply(request, reply)
         await stream.send_message(reply)
--- a/cardamombarrow/peers/follower_exchange.py
+++ b/cardamombarrow/peers/follower_exchange.py
@@ -35,8 +35,8 @@
         controls: abc.Callable[[], set[str]],
         secret: str,
         table: followers_module.Followers,
-        kept: kept_board.KeptBoard,
-        metered: collecting.MeteringCollector,
+        cache_reports: kept_board.KeptBoard,
+        collector: collecting.MeteringCollector,
         leads: abc.Callable[[], bool],
     ):
         """Creates the exchange.
@@ -46,8 +46,8 @@
             controls: Returns the addresses of the other control processes.
             secret: Shared secret that authenticates the instances.
             table: The known entries.
-            kept: What entries share about the caches of engines.
-            metered: Usage and demand counted by entries.
+            cache_reports: What entries share about the caches of engines.
+            collector: Usage and demand counted by entries.
             leads: Returns whether this process leads the log and therefore
                 needs the usage of all entries.
         """
@@ -55,8 +55,8 @@
         self._controls = controls
         self._secret = secret
         self._table = table
-        self._kept = kept
-        self._metered = metered
+        self._cache_reports = cache_reports
+        self._collector = collector
         self._leads = leads
         self._boot_clock = clock.BootClock()
 
@@ -121,8 +121,8 @@
     ) -> None:
         """Applies a reply and sets its numbers in the next request."""
         self._table.merge(reply)
-        self._kept.put(reply.kept, "", time.monotonic())
+        self._cache_reports.put(reply.kept, "", time.monotonic())
         request.kept_since = reply.kept_number
-        self._metered.merge_reply(address, asked_s, reply)
+        self._collector.merge_reply(address, asked_s, reply)
         if reply.usage_number:
             request.usage_since = reply.usage_number
--- a/cardamombarrow/peers/followers.py
+++ b/cardamombarrow/peers/followers.py
@@ -142,7 +142,7 @@
         oldest_s = time.monotonic() - FOLLOWER_TIMEOUT_S
         return sum(f.heard_s >= oldest_s for f in self._table.values())
 
-    def addresses(self, domain: ids.DomainId, most: int) -> list[str]:
+    def addresses(self, domain: ids.DomainId, max_count: int) -> list[str]:
         """Returns addresses of entries of a domain, the latest report first."""
         followers = sorted(
             (
@@ -152,7 +152,7 @@
             ),
             key=lambda follower: -follower.heard_s,
         )
-        return [follower.address for follower in followers[:most]]
+        return [follower.address for follower in followers[:max_count]]
 
     def placers(self, domain: ids.DomainId) -> list[str]:
         """Returns addresses of the placers of other domains."""
--- a/cardamombarrow/peers/log_transport.py
+++ b/cardamombarrow/peers/log_transport.py
@@ -171,7 +171,7 @@
 
 
 class LogTransport(driver.Transport):
-    """Sends envelopes over standing streams, one per peer."""
+    """Sends envelopes over long-lived streams, one per peer."""
 
     def __init__(
         self,
--- a/cardamombarrow/peers/tests/test_placing_teller.py
+++ b/cardamombarrow/peers/tests/test_placing_teller.py
@@ -110,7 +110,7 @@
     made.stop()
 
 
-def test_loads_arrive_and_go(receiver, publisher):
+def test_loads_are_received_and_updated(receiver, publisher):
     address, placer = receiver
     publisher.set_placers([address])
     _wait_until(lambda: placer.loads.get(_SENDER) == {_ONE: 2})
