--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -141,7 +141,7 @@
             ),
             gossip_node.GossipHooks(
                 collect=_Load(name, endpoints, names).collect,
-                urgent=lambda: False,
+                has_urgent_changes=lambda: False,
                 on_changes=lambda changes, now_s: False,
                 on_members=lambda members, gone: None,
                 document=lambda: control_pb2.DocumentMessage(revision=1),
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -31,10 +31,10 @@
 from cardamombarrow.peers import confirming as confirming_module
 from cardamombarrow.peers import control_client
 from cardamombarrow.peers import control_pb2
+from cardamombarrow.peers import gossip_bridge as gossip_bridge_module
 from cardamombarrow.peers import gossip_node
 from cardamombarrow.peers import kept_codec
 from cardamombarrow.peers import loop as loop_module
-from cardamombarrow.peers import membership as membership_module
 from cardamombarrow.peers import placing_client
 from cardamombarrow.peers import placing_service
 from cardamombarrow.peers import placing_teller
@@ -96,7 +96,7 @@
         self._loop = loop_module.LoopThread()
         self._node: gossip_node.GossipNode | None = None
         self._server: server_module.PeerServer | None = None
-        self.membership: membership_module.Membership | None = None
+        self.membership: gossip_bridge_module.GossipBridge | None = None
         self._broker: broker_module.Broker | None = None
         self._asking: placing_client.PlacingClient | None = None
         self._placer: placer_module.Placer | None = None
@@ -254,7 +254,7 @@
             counts: Where questions to the placer are counted.
         """
         self._broker = broker
-        self.membership = membership_module.Membership(
+        self.membership = gossip_bridge_module.GossipBridge(
             self._instance, self._domain, kinds, broker, self._clock
         )
         poller = poller_module.Poller(
@@ -319,7 +319,7 @@
     def _hooks(self) -> gossip_node.GossipHooks:
         return gossip_node.GossipHooks(
             collect=self.membership.collect,
-            urgent=self.membership.urgent,
+            has_urgent_changes=self.membership.has_urgent_changes,
             on_changes=self.membership.on_changes,
             on_members=self.membership.on_members,
             document=self._document,
@@ -375,7 +375,7 @@
                 "endpoints", endpoints=[each.endpoint for each in found]
             )
             self._broker.set_found(found)
-            self.membership.on_found(found)
+            self.membership.on_discovered(found)
 
     def on_settings(self, settings: settings_module.EntrySettings) -> None:
         """Takes another list of control processes."""
--- a/cardamombarrow/peers/membership.py
+++ b/cardamombarrow/peers/gossip_bridge.py
@@ -22,10 +22,10 @@
 from cardamombarrow.kernel import clock
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import logs
-from cardamombarrow.peers import rate_limit_news
+from cardamombarrow.peers import rate_limit_gossip
 from cardamombarrow.placing import order as order_module
 
-__all__ = ["Membership"]
+__all__ = ["GossipBridge"]
 
 QUARANTINE_STEP_S = 1.0
 """A quarantine whose end moved by less than this is not published again: each
@@ -70,7 +70,7 @@
     )
 
 
-class Membership:
+class GossipBridge:
     """One entry's side of the gossip; methods are thread-safe."""
 
     def __init__(
@@ -89,7 +89,7 @@
         self._lock = threading.RLock()
         self._leaving = leaving_module.LeavingView()
         self._reports = _Reports()
-        self._rate_limits = rate_limit_news.RateLimitNews(broker)
+        self._rate_limits = rate_limit_gossip.RateLimitGossip(broker)
         self._members = frozenset((instance,))
         self._endpoints: dict[ids.EndpointId, endpoints_base.EndpointKind] = {}
         self._by_hash: dict[int, ids.EndpointId] = {}
@@ -128,7 +128,7 @@
             self._document = document
         self._rebuild_endpoints()
 
-    def on_found(self, found: tuple[messages.KnownEndpoint, ...]) -> None:
+    def on_discovered(self, found: tuple[messages.KnownEndpoint, ...]) -> None:
         """Applies the endpoints that discovery found."""
         with self._lock:
             self._discovered = found
@@ -276,7 +276,7 @@
         for fingerprint in set(self._quarantine) - set(quarantined):
             del self._quarantine[fingerprint]
 
-    def urgent(self) -> bool:
+    def has_urgent_changes(self) -> bool:
         """Returns whether changes have to be published at once.
 
         These are a leaving endpoint, a changed rate limit, a quarantined
@@ -342,7 +342,7 @@
         endpoint = self.endpoints_by_hash().get(endpoint_hash)
         if endpoint is None:
             return False
-        return self._rate_limits.take(endpoint, limit, instance)
+        return self._rate_limits.apply_remote(endpoint, limit, instance)
 
     def _apply_item(
         self,
--- a/cardamombarrow/peers/gossip_node.py
+++ b/cardamombarrow/peers/gossip_node.py
@@ -87,7 +87,7 @@
 
     Attributes:
         collect: Returns the items of the own row at the given time.
-        urgent: Returns whether there are urgent changes.
+        has_urgent_changes: Returns whether there are urgent changes.
         on_changes: Called with received changes after the table has applied
             them. Returns whether to pass them on at once.
         on_members: Called when the live instances have changed, with all live
@@ -97,7 +97,7 @@
     """
 
     collect: abc.Callable[[float], dict[rows.Key, rows.Value]]
-    urgent: abc.Callable[[], bool]
+    has_urgent_changes: abc.Callable[[], bool]
     on_changes: abc.Callable[[rows.Changes, float], bool]
     on_members: abc.Callable[
         [frozenset[ids.InstanceId], list[ids.InstanceId]], None
@@ -193,7 +193,7 @@
     async def _pause(self, until_s: float) -> None:
         await asyncio.sleep(MIN_ROUND_GAP_S)
         while (left_s := until_s - self._clock.now_s()) > 0:
-            if self._wake.is_set() or self._hooks.urgent():
+            if self._wake.is_set() or self._hooks.has_urgent_changes():
                 self._urgent = True
                 break
             try:
--- a/cardamombarrow/peers/rate_limit_news.py
+++ b/cardamombarrow/peers/rate_limit_gossip.py
@@ -5,14 +5,14 @@
 from cardamombarrow.gossip import rows
 from cardamombarrow.kernel import ids
 
-__all__ = ["RateLimitNews"]
+__all__ = ["RateLimitGossip"]
 
 RENEWAL_S = 2.0
 """An unchanged limit that an endpoint states again is published again after
 this long."""
 
 
-class RateLimitNews:
+class RateLimitGossip:
     """Publishes this instance's limits and receives those of the others."""
 
     def __init__(self, broker: broker_module.Broker):
@@ -42,7 +42,7 @@
             for endpoint, limit in current.items()
         )
 
-    def take(
+    def apply_remote(
         self,
         endpoint: ids.EndpointId,
         limit: messages.RateLimit,
--- a/cardamombarrow/peers/tests/test_membership.py
+++ b/cardamombarrow/peers/tests/test_gossip_bridge.py
@@ -10,7 +10,7 @@
 from cardamombarrow.gossip import table as table_module
 from cardamombarrow.kernel import clock
 from cardamombarrow.kernel import ids
-from cardamombarrow.peers import membership as membership_module
+from cardamombarrow.peers import gossip_bridge as gossip_bridge_module
 
 _LISTED = [base.ListedEndpoint(ids.EndpointId("a:1"), base.ListedState.LIVE)]
 
@@ -40,7 +40,7 @@
     """One entry's side of the gossip, with its list of endpoints."""
 
     def __init__(self, name, time_source):
-        self.membership = membership_module.Membership(
+        self.membership = gossip_bridge_module.GossipBridge(
             ids.InstanceId(name), ids.DomainId("d"), {}, _Broker(), time_source
         )
         self.table = table_module.Table(
@@ -83,9 +83,9 @@
     for step in range(3):
         time_source.advance(2.0)
         reader.watch.refresh()
-        assert reader.membership.urgent(), step
+        assert reader.membership.has_urgent_changes(), step
         assert reader.send_to(one)
-        assert not reader.membership.urgent()
+        assert not reader.membership.has_urgent_changes()
         reader.send_to(two)
         assert one.watch._read_s == two.watch._read_s == reader.watch._read_s
 
--- a/cardamombarrow/peers/tests/test_gossip_node.py
+++ b/cardamombarrow/peers/tests/test_gossip_node.py
@@ -29,7 +29,7 @@
         self.loop.start()
         hooks = gossip_node.GossipHooks(
             collect=lambda now_s: dict(self.items),
-            urgent=lambda: False,
+            has_urgent_changes=lambda: False,
             on_changes=self._on_changes,
             on_members=lambda members, gone: self.gone.extend(gone),
             document=lambda: self.document,
--- a/cardamombarrow/peers/tests/test_rate_limit_news.py
+++ b/cardamombarrow/peers/tests/test_rate_limit_gossip.py
@@ -8,7 +8,7 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.peers import gossip_codec
 from cardamombarrow.peers import gossip_pb2
-from cardamombarrow.peers import rate_limit_news
+from cardamombarrow.peers import rate_limit_gossip
 
 _ENDPOINT = ids.EndpointId("10.0.0.1:80")
 _KEY = (rows.ItemKind.RATE_LIMIT, rows.endpoint_hash(_ENDPOINT))
@@ -56,7 +56,7 @@
 def test_a_changed_limit_is_urgent_until_it_is_published():
     # Guards against a delay of seconds in which all others keep sending.
     broker = _Broker()
-    news = rate_limit_news.RateLimitNews(broker)
+    news = rate_limit_gossip.RateLimitGossip(broker)
     assert not news.is_urgent()
     for per_s in (1.0, 0.5, None):
         broker.now_s += 1.0
@@ -68,20 +68,22 @@
 
 def test_a_limit_that_is_stated_again_is_rarely_published_again():
     broker = _Broker()
-    news = rate_limit_news.RateLimitNews(broker)
+    news = rate_limit_gossip.RateLimitGossip(broker)
     published_s = set()
     for step in range(100):
         broker.now_s = step * 0.1
         broker.limits.hear(_ENDPOINT, _limit(1.0, broker.now_s))
         published_s.add(news.collect()[_KEY].heard_s)
-    assert len(published_s) <= 100 * 0.1 / rate_limit_news.RENEWAL_S + 1
+    assert len(published_s) <= 100 * 0.1 / rate_limit_gossip.RENEWAL_S + 1
 
 
 def test_an_older_limit_of_another_instance_changes_nothing():
     broker = _Broker()
-    news = rate_limit_news.RateLimitNews(broker)
+    news = rate_limit_gossip.RateLimitGossip(broker)
     broker.limits.hear(_ENDPOINT, _limit(None, 5.0))
-    assert news.take(_ENDPOINT, _limit(1.0, 6.0), ids.InstanceId("e"))
+    assert news.apply_remote(_ENDPOINT, _limit(1.0, 6.0), ids.InstanceId("e"))
     broker.limits.hear(_ENDPOINT, _limit(None, 7.0))
-    assert not news.take(_ENDPOINT, _limit(1.0, 6.5), ids.InstanceId("e"))
+    assert not news.apply_remote(
+        _ENDPOINT, _limit(1.0, 6.5), ids.InstanceId("e")
+    )
     assert broker.limits.limit(_ENDPOINT) is None
