--- a/benchmarks/placing_cost.py
+++ b/benchmarks/placing_cost.py
@@ -43,7 +43,9 @@
             clock.SystemClock(),
         )
         self.loop = loop_module.LoopThread()
-        placer = placer_module.Placer(self.broker.for_domain, self.loop.soon)
+        placer = placer_module.Placer(
+            self.broker.for_domain, self.loop.call_soon
+        )
         host, _, port = members[name].rpartition(":")
         self.server = server_module.PeerServer(
             self.loop,
--- a/cardamombarrow/admin/app.py
+++ b/cardamombarrow/admin/app.py
@@ -207,7 +207,7 @@
             follower.instance: {
                 "domain": follower.domain,
                 "applied_revision": follower.applied_revision,
-                "heard_ago_s": round(now_s - follower.heard_s, 3),
+                "heard_ago_s": round(now_s - follower.last_report_s, 3),
             }
             for follower in list(self._followers().values())
         }
--- a/cardamombarrow/control/core.py
+++ b/cardamombarrow/control/core.py
@@ -35,13 +35,13 @@
 from cardamombarrow.log import state as log_state
 from cardamombarrow.log import storage
 from cardamombarrow.orders import runner
-from cardamombarrow.peers import collecting
 from cardamombarrow.peers import control_pb2
 from cardamombarrow.peers import control_service
 from cardamombarrow.peers import follower_exchange
 from cardamombarrow.peers import followers as followers_module
 from cardamombarrow.peers import log_transport
 from cardamombarrow.peers import loop as loop_module
+from cardamombarrow.peers import metering_collector
 from cardamombarrow.peers import secret as secret_module
 
 __all__ = ["run"]
@@ -115,8 +115,8 @@
             self._other_controls,
             peers.secret,
             self._state.service.followers,
-            self._state.service.kept,
-            self._state.service.metered,
+            self._state.service.cache_reports,
+            self._state.service.collector,
             lambda: self._log.status().role == "leader",
         )
         self._exchange.start()
@@ -136,8 +136,8 @@
             ids.DomainId(self._settings.instance.domain),
         )
         self._server = server.Server([service, self._log_service])
-        service.metered.count_windows(self._settings.duties.window_s)
-        secret_module.guard(self._server, peers.secret)
+        service.collector.set_window_length(self._settings.duties.window_s)
+        secret_module.require_tokens(self._server, peers.secret)
         await self._server.start(peers.host, peers.port)
         self._state.service = service
         self._state.publish()
@@ -155,12 +155,12 @@
         service = self._state.service
         if service is None:
             return None
-        return self._loop.call(self._metering_view(service.metered)).result(
+        return self._loop.call(self._metering_view(service.collector)).result(
             timeout=METERING_TIMEOUT_S
         )
 
     async def _metering_view(
-        self, metered: collecting.MeteringCollector
+        self, metered: metering_collector.MeteringCollector
     ) -> duties_runner.MeteringView:
         now_s = time.monotonic()
         return duties_runner.MeteringView(
--- a/cardamombarrow/control/state.py
+++ b/cardamombarrow/control/state.py
@@ -188,7 +188,7 @@
         raw = json.loads(
             # A snapshot is this process's own, or a member's: a bound would
             # keep one that has grown from ever being read again.
-            snapshot if plain else packing.unpack(snapshot, most_bytes=0)
+            snapshot if plain else packing.unpack(snapshot, max_bytes=0)
         )
         self.document = document_machine.DocumentState.from_json(
             raw["document"]
--- a/cardamombarrow/control/tests/test_state.py
+++ b/cardamombarrow/control/tests/test_state.py
@@ -25,7 +25,7 @@
     # edition may be. Written but refused when it is read, it would keep a
     # control process from starting again, for good.
     made = _state(kandula_text)
-    monkeypatch.setattr(packing, "MOST_BYTES", 100)
+    monkeypatch.setattr(packing, "MAX_TEXT_BYTES", 100)
     restored = state.ControlState()
     restored.restore(made.snapshot())
     assert restored.document.accepted == made.document.accepted
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -27,17 +27,17 @@
 from cardamombarrow.metering import board
 from cardamombarrow.metering import meter as meter_module
 from cardamombarrow.metering import true_time
-from cardamombarrow.peers import collecting
-from cardamombarrow.peers import confirming as confirming_module
+from cardamombarrow.peers import cache_report_codec
+from cardamombarrow.peers import confirmation_loop as confirmation_loop_module
 from cardamombarrow.peers import control_client
 from cardamombarrow.peers import control_pb2
 from cardamombarrow.peers import gossip_bridge as gossip_bridge_module
 from cardamombarrow.peers import gossip_node
-from cardamombarrow.peers import kept_codec
+from cardamombarrow.peers import load_publisher
 from cardamombarrow.peers import loop as loop_module
+from cardamombarrow.peers import metering_collector
 from cardamombarrow.peers import placing_client
 from cardamombarrow.peers import placing_service
-from cardamombarrow.peers import placing_teller
 from cardamombarrow.peers import server as server_module
 
 __all__ = ["Peering", "meet"]
@@ -100,7 +100,7 @@
         self._broker: broker_module.Broker | None = None
         self._asking: placing_client.PlacingClient | None = None
         self._placer: placer_module.Placer | None = None
-        self._teller: placing_teller.LoadTeller | None = None
+        self._teller: load_publisher.LoadPublisher | None = None
         self._found: tuple[messages.KnownEndpoint, ...] = ()
         self._kept_number = 0
         self.control = control_client.ControlClient(
@@ -123,7 +123,7 @@
         self.meter = meter_module.Meter(
             settings.metering.window_s, self.time.unix_s
         )
-        self._confirming = confirming_module.Confirming(
+        self._confirming = confirmation_loop_module.ConfirmationLoop(
             self._loop,
             self.control,
             self._confirm_request,
@@ -151,10 +151,10 @@
             instance=self._instance,
             domain=self._domain,
             applied_revision=self._documents.revision,
-            kept=kept_codec.kept_to_wire(news),
+            kept=cache_report_codec.cache_reports_to_wire(news),
             kept_since=self._kept_number,
             usage=[
-                collecting.usage_to_wire(
+                metering_collector.usage_to_wire(
                     board.SourceCounts(
                         f"{self._instance}.{self._boot}",
                         each.window,
@@ -198,7 +198,9 @@
             self._broker.set_instances(max(reply.entry_count, 1))
             self._kept_number = reply.kept_number
             known = self.membership.endpoints_by_hash()
-            self._broker.hear_kept(kept_codec.kept_from_wire(reply.kept, known))
+            self._broker.hear_kept(
+                cache_report_codec.cache_reports_from_wire(reply.kept, known)
+            )
         if self._teller is not None:
             self._teller.set_placers(reply.placers)
         if self._node is not None:
@@ -279,9 +281,9 @@
             self._hooks(),
             self._clock,
         )
-        placer = placer_module.Placer(broker.for_domain, self._loop.soon)
+        placer = placer_module.Placer(broker.for_domain, self._loop.call_soon)
         self._placer = placer
-        self._teller = placing_teller.LoadTeller(
+        self._teller = load_publisher.LoadPublisher(
             self._loop,
             self._instance,
             peers.secret,
--- a/cardamombarrow/peers/kept_board.py
+++ b/cardamombarrow/peers/cache_report_relay.py
@@ -16,17 +16,17 @@
 
 from cardamombarrow.peers import control_pb2
 
-__all__ = ["KeptBoard"]
+__all__ = ["CacheReportRelay"]
 
-LIFE_S = 5.0
+REPORT_TTL_S = 5.0
 """How long a report is relayed: several requests of entries and of other
 control processes fit in."""
 
-GROUPS = 4_000
+MAX_GROUPS = 4_000
 """Maximum number of stored groups of parts: 80 entries that use 10 engines a
 second each."""
 
-PARTS_TOLD = 2_000
+MAX_PARTS_PER_REPLY = 2_000
 """Maximum number of parts in one reply, 8 to 11 KB: 18 ms on a link of
 5 Mbit/s."""
 
@@ -41,7 +41,7 @@
     parts: control_pb2.KeptParts
 
 
-class KeptBoard:
+class CacheReportRelay:
     """Recent reports, in the order of arrival.
 
     Numbers begin at a random value, so that a number of another process, or of
@@ -51,7 +51,7 @@
     def __init__(self, rng: random.Random):
         self._number = self._first = rng.getrandbits(31) << 32
         self._groups: collections.deque[_Group] = collections.deque(
-            maxlen=GROUPS
+            maxlen=MAX_GROUPS
         )
 
     def put(
@@ -102,12 +102,12 @@
         now_s: float,
         is_wanted: abc.Callable[[_Group], bool],
     ) -> tuple[list[control_pb2.KeptParts], int]:
-        while self._groups and now_s - self._groups[0].added_s > LIFE_S:
+        while self._groups and now_s - self._groups[0].added_s > REPORT_TTL_S:
             self._groups.popleft()
         if not self._first <= number <= self._number:
             number = self._first
         reports: list[control_pb2.KeptParts] = []
-        left = PARTS_TOLD
+        left = MAX_PARTS_PER_REPLY
         # The newest first: beyond the limit, the oldest are left out.
         for group in reversed(self._groups):
             if group.number <= number or left <= 0:
--- a/cardamombarrow/peers/confirmations.py
+++ b/cardamombarrow/peers/confirmation_batcher.py
@@ -12,7 +12,7 @@
 from cardamombarrow.kernel import errors
 from cardamombarrow.log import base
 
-__all__ = ["Confirmations"]
+__all__ = ["ConfirmationBatcher"]
 
 OVERLAP_S = 0.1
 """Time after which the next round begins although the current one has not
@@ -23,7 +23,7 @@
 """Timeout of a round: longer than an election; clients time out earlier."""
 
 
-class Confirmations:
+class ConfirmationBatcher:
     """Shares rounds of the log between requests; runs on one loop."""
 
     def __init__(self, log: base.Log):
--- a/cardamombarrow/peers/confirming.py
+++ b/cardamombarrow/peers/confirmation_loop.py
@@ -17,7 +17,7 @@
 from cardamombarrow.peers import control_pb2
 from cardamombarrow.peers import loop as loop_module
 
-__all__ = ["Confirming"]
+__all__ = ["ConfirmationLoop"]
 
 INTERVAL_S = 1.0
 """Time between two confirmations: some fit into the shortest bound in use."""
@@ -34,7 +34,7 @@
 OnReply = abc.Callable[[str, float, control_pb2.ConfirmReply], None]
 
 
-class Confirming(loop_module.LoopPart):
+class ConfirmationLoop(loop_module.LoopPart):
     """Requests confirmations; one task on the loop."""
 
     def __init__(
--- a/cardamombarrow/peers/control_service.py
+++ b/cardamombarrow/peers/control_service.py
@@ -11,13 +11,13 @@
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 from cardamombarrow.log import base
+from cardamombarrow.peers import cache_report_relay
 from cardamombarrow.peers import codec
-from cardamombarrow.peers import collecting
-from cardamombarrow.peers import confirmations as confirmations_module
+from cardamombarrow.peers import confirmation_batcher as batcher_module
 from cardamombarrow.peers import control_grpc
 from cardamombarrow.peers import control_pb2
 from cardamombarrow.peers import followers as followers_module
-from cardamombarrow.peers import kept_board
+from cardamombarrow.peers import metering_collector
 
 __all__ = ["ControlService"]
 
@@ -45,9 +45,11 @@
     ):
         self._log = log
         self._accepted = accepted
-        self._confirmations = confirmations_module.Confirmations(log)
-        self.kept = kept_board.KeptBoard(random.Random())
-        self.metered = collecting.MeteringCollector()
+        self._batcher = batcher_module.ConfirmationBatcher(log)
+        self.cache_reports = cache_report_relay.CacheReportRelay(
+            random.Random()
+        )
+        self.collector = metering_collector.MeteringCollector()
         self.followers = followers_module.Followers(
             lambda: log.status().has_quorum, domain
         )
@@ -89,9 +91,9 @@
         """Answers with the newest revision, confirmed by a majority."""
         request = await stream.recv_message()
         reply = control_pb2.ConfirmReply()
-        self.kept.put(request.kept, request.instance, time.monotonic())
-        self.metered.merge_request(request)
-        if await self._confirmations.confirm():
+        self.cache_reports.put(request.kept, request.instance, time.monotonic())
+        self.collector.merge_request(request)
+        if await self._batcher.confirm():
             reply.confirmed = True
             accepted = self._accepted()
             newer = accepted.revision > request.applied_revision
@@ -100,26 +102,26 @@
             reply.document.text = accepted.text if newer else ""
             domain = ids.DomainId(request.domain)
             reply.controls.extend(self._log.addresses())
-            reply.entry_count = self.followers.count_heard()
+            reply.entry_count = self.followers.count_recent()
             reply.entries.extend(
                 self.followers.addresses(domain, MAX_ENTRY_ADDRESSES)
             )
             reply.placers.extend(self.followers.placers(domain))
-            reports, reply.kept_number = self.kept.since(
+            reports, reply.kept_number = self.cache_reports.since(
                 request.kept_since, request.instance, time.monotonic()
             )
             reply.kept.extend(reports)
-            reply.unix_s = self.metered.unix_s()
-            reply.boot = self.metered.boot
+            reply.unix_s = self.collector.unix_s()
+            reply.boot = self.collector.boot
         await stream.send_message(reply)
 
     async def Followers(self, stream: server.Stream) -> None:  # noqa: N802
         """Answers with the known entries and the data that they reported."""
         request = await stream.recv_message()
         reply = self.followers.rows()
-        reports, reply.kept_number = self.kept.own_since(
+        reports, reply.kept_number = self.cache_reports.own_since(
             request.kept_since, time.monotonic()
         )
         reply.kept.extend(reports)
-        self.metered.fill_reply(request, reply)
+        self.collector.fill_reply(request, reply)
         await stream.send_message(reply)
--- a/cardamombarrow/peers/follower_exchange.py
+++ b/cardamombarrow/peers/follower_exchange.py
@@ -11,13 +11,13 @@
 from grpclib import client
 
 from cardamombarrow.kernel import clock
-from cardamombarrow.peers import collecting
+from cardamombarrow.peers import cache_report_relay
 from cardamombarrow.peers import control_client
 from cardamombarrow.peers import control_grpc
 from cardamombarrow.peers import control_pb2
 from cardamombarrow.peers import followers as followers_module
-from cardamombarrow.peers import kept_board
 from cardamombarrow.peers import loop as loop_module
+from cardamombarrow.peers import metering_collector
 from cardamombarrow.peers import secret as secret_module
 
 __all__ = ["FollowerExchange"]
@@ -35,8 +35,8 @@
         controls: abc.Callable[[], set[str]],
         secret: str,
         table: followers_module.Followers,
-        cache_reports: kept_board.KeptBoard,
-        collector: collecting.MeteringCollector,
+        cache_reports: cache_report_relay.CacheReportRelay,
+        collector: metering_collector.MeteringCollector,
         leads: abc.Callable[[], bool],
     ):
         """Creates the exchange.
--- a/cardamombarrow/peers/followers.py
+++ b/cardamombarrow/peers/followers.py
@@ -43,7 +43,7 @@
     """An entry that follows a control process.
 
     Attributes:
-        heard_s: Monotonic time of its last report.
+        last_report_s: Monotonic time of its last report.
         address: Where other entries reach it.
         places: Whether it is the placer of its domain.
         direct: Whether it reports to this process.
@@ -52,7 +52,7 @@
     instance: ids.InstanceId
     domain: ids.DomainId
     applied_revision: ids.Revision
-    heard_s: float
+    last_report_s: float
     address: str = ""
     places: bool = False
     direct: bool = False
@@ -90,7 +90,7 @@
         return {
             instance: follower
             for instance, follower in list(self._table.items())
-            if follower.heard_s >= oldest_s
+            if follower.last_report_s >= oldest_s
         }
 
     def rows(self) -> control_pb2.FollowersReply:
@@ -107,13 +107,13 @@
                     instance=follower.instance,
                     domain=follower.domain,
                     applied_revision=follower.applied_revision,
-                    heard_ago_s=now_s - follower.heard_s,
+                    heard_ago_s=now_s - follower.last_report_s,
                     address=follower.address,
                     places=follower.places,
                 )
                 for follower in self.table().values()
                 if follower.direct
-                or now_s - follower.heard_s > FOLLOWER_TIMEOUT_S
+                or now_s - follower.last_report_s > FOLLOWER_TIMEOUT_S
             ]
         )
 
@@ -134,13 +134,13 @@
 
     def _update(self, follower: Follower) -> None:
         known = self._table.get(follower.instance)
-        if known is None or follower.heard_s > known.heard_s:
+        if known is None or follower.last_report_s > known.last_report_s:
             self._table[follower.instance] = follower
 
-    def count_heard(self) -> int:
+    def count_recent(self) -> int:
         """Counts the entries of all domains that reported recently."""
         oldest_s = time.monotonic() - FOLLOWER_TIMEOUT_S
-        return sum(f.heard_s >= oldest_s for f in self._table.values())
+        return sum(f.last_report_s >= oldest_s for f in self._table.values())
 
     def addresses(self, domain: ids.DomainId, max_count: int) -> list[str]:
         """Returns addresses of entries of a domain, the latest report first."""
@@ -150,7 +150,7 @@
                 for follower in self.table().values()
                 if follower.domain == domain and follower.address
             ),
-            key=lambda follower: -follower.heard_s,
+            key=lambda follower: -follower.last_report_s,
         )
         return [follower.address for follower in followers[:max_count]]
 
@@ -162,7 +162,7 @@
             for follower in self._table.values()
             if follower.places
             and follower.domain != domain
-            and follower.heard_s >= oldest_s
+            and follower.last_report_s >= oldest_s
         )
 
     async def publish(self, accepted: machine.Accepted) -> None:
@@ -182,7 +182,7 @@
                 self._changes.clear()
                 self._changed.notify_all()
 
-    def newer(self, applied: int) -> control_pb2.DocumentMessage:
+    def update_for(self, applied: int) -> control_pb2.DocumentMessage:
         """Returns the update for a follower: nothing, changes or the text."""
         message = self.document()
         if message.revision <= applied:
@@ -245,7 +245,7 @@
 
     async def _send(self, stream: server.Stream, applied: int) -> None:
         while True:
-            message = self.newer(applied)
+            message = self.update_for(applied)
             await stream.send_message(message)
             applied = max(applied, message.revision)
             with contextlib.suppress(TimeoutError):
--- a/cardamombarrow/peers/placing_teller.py
+++ b/cardamombarrow/peers/load_publisher.py
@@ -24,7 +24,7 @@
 from cardamombarrow.peers import placing_grpc
 from cardamombarrow.peers import secret as secret_module
 
-__all__ = ["KEEPALIVE_S", "LoadTeller"]
+__all__ = ["KEEPALIVE_S", "LoadPublisher"]
 
 INTERVAL_S = 0.1
 """Time between two messages while loads change."""
@@ -66,7 +66,7 @@
     return load.ranks, load.unread, round(load.unread_tokens)
 
 
-class LoadTeller(loop_module.LoopPart):
+class LoadPublisher(loop_module.LoopPart):
     """Maintains a stream to each other placer while this instance places."""
 
     def __init__(
--- a/cardamombarrow/peers/loop.py
+++ b/cardamombarrow/peers/loop.py
@@ -57,7 +57,7 @@
         """Runs a coroutine on the loop, from any other thread."""
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
-    def soon(self, callback: collections_abc.Callable[[], None]) -> None:
+    def call_soon(self, callback: collections_abc.Callable[[], None]) -> None:
         """Schedules a callback on the loop, from any thread."""
         with contextlib.suppress(RuntimeError):
             # After the loop is closed, nothing waits for the callback.
--- a/cardamombarrow/peers/collecting.py
+++ b/cardamombarrow/peers/metering_collector.py
@@ -38,7 +38,7 @@
         self._clocks = true_time.ClockPoll(clock.BootClock())
         self._window_s = 0.0
 
-    def count_windows(self, window_s: float) -> None:
+    def set_window_length(self, window_s: float) -> None:
         """Sets the length of windows; without it all windows are accepted."""
         self._window_s = window_s
 
--- a/cardamombarrow/peers/packing.py
+++ b/cardamombarrow/peers/packing.py
@@ -8,9 +8,9 @@
 
 import zlib
 
-__all__ = ["MOST_BYTES", "pack", "unpack"]
+__all__ = ["MAX_TEXT_BYTES", "pack", "unpack"]
 
-MOST_BYTES = 64_000_000
+MAX_TEXT_BYTES = 64_000_000
 """Maximum size of a text; far above the limit for a submitted document."""
 
 
@@ -19,22 +19,22 @@
     return zlib.compress(text.encode())
 
 
-def unpack(packed: bytes, most_bytes: int | None = None) -> str:
+def unpack(packed: bytes, max_bytes: int | None = None) -> str:
     """Decompresses a text.
 
     Args:
         packed: A result of `pack`.
-        most_bytes: Maximum size of the text; `MOST_BYTES` by default, 0 for
+        max_bytes: Maximum size of the text; `MAX_TEXT_BYTES` by default, 0 for
             no limit.
 
     Raises:
         ValueError: The data is not a packed text, is truncated or too long.
     """
     unpacker = zlib.decompressobj()
-    if most_bytes is None:
-        most_bytes = MOST_BYTES
+    if max_bytes is None:
+        max_bytes = MAX_TEXT_BYTES
     try:
-        data = unpacker.decompress(packed, most_bytes)
+        data = unpacker.decompress(packed, max_bytes)
     except zlib.error as error:
         raise ValueError(f"not a packed text: {error}") from None
     if not unpacker.eof:
--- a/cardamombarrow/peers/placing_client.py
+++ b/cardamombarrow/peers/placing_client.py
@@ -21,9 +21,9 @@
 from cardamombarrow.placing import messages as placing_messages
 from cardamombarrow.placing import order as order_module
 
-__all__ = ["ANSWER_S", "ClientHooks", "PlacingClient"]
+__all__ = ["ANSWER_TIMEOUT_S", "ClientHooks", "PlacingClient"]
 
-ANSWER_S = 0.05
+ANSWER_TIMEOUT_S = 0.05
 """Maximum wait for the first answer to a question. A round trip in the domain
 and a decision take a fifth of it; the shortest target in use is ten times as
 long."""
@@ -86,35 +86,37 @@
     def ask(self, job: messages.Job) -> None:
         """Requests a placement from the placer."""
         asked_s = time.monotonic()
-        self._loop.soon(lambda: self._ask(job, asked_s))
+        self._loop.call_soon(lambda: self._ask(job, asked_s))
 
     def withdraw(self, request_id: ids.RequestId) -> None:
         """Withdraws a question."""
-        self._loop.soon(lambda: self._withdraw(request_id))
+        self._loop.call_soon(lambda: self._withdraw(request_id))
 
     def ran(self, run: placing_messages.Run) -> None:
         """Reports a request that this entry has placed by itself."""
         if self._link is not None:
-            self._loop.soon(lambda: self._ran(run))
+            self._loop.call_soon(lambda: self._ran(run))
 
     def began(self, request_id: ids.RequestId) -> None:
         """Reports the first event of a request's answer."""
         if self._link is not None:
-            self._loop.soon(lambda: self._began(request_id))
+            self._loop.call_soon(lambda: self._began(request_id))
 
     def ended(
         self, request_id: ids.RequestId, outcome: messages.Outcome, tokens: int
     ) -> None:
         """Reports that a request has ended at its endpoint."""
         if self._link is not None:
-            self._loop.soon(lambda: self._ended(request_id, outcome, tokens))
+            self._loop.call_soon(
+                lambda: self._ended(request_id, outcome, tokens)
+            )
 
     def loaded(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
         """Reports the endpoint load that an answer contained."""
         if self._link is not None:
-            self._loop.soon(lambda: self._loaded(endpoint, report))
+            self._loop.call_soon(lambda: self._loaded(endpoint, report))
 
     # -- questions and events, on the loop ------------------------------------
 
@@ -125,7 +127,7 @@
             self._hooks.fall_back(job.request_id, "no placer is connected")
             return
         now_s = time.monotonic()
-        left_s = max(asked_s + ANSWER_S - now_s, 0.0)
+        left_s = max(asked_s + ANSWER_TIMEOUT_S - now_s, 0.0)
         timer = self._start_timer(link, job, left_s)
         link.questions[job.request_id] = placing_link.Question(
             job, asked_s, timer
@@ -219,7 +221,7 @@
         question.timer.cancel()
         # The placer refuses it at its deadline at the latest; this timer
         # covers a placer that does not answer.
-        left_s = question.job.deadline_s - time.monotonic() + ANSWER_S
+        left_s = question.job.deadline_s - time.monotonic() + ANSWER_TIMEOUT_S
         question.timer = self._start_timer(link, question.job, max(left_s, 0.0))
 
     def _on_decision(
--- a/cardamombarrow/peers/placing_link.py
+++ b/cardamombarrow/peers/placing_link.py
@@ -21,10 +21,10 @@
 OPEN_TIMEOUT_S = 1.0
 """Maximum wait for the first message of a new stream."""
 
-BUSY_TIMEOUT_S = 3 * placing_service.PULSE_BUSY_S
+BUSY_TIMEOUT_S = 3 * placing_service.KEEPALIVE_BUSY_S
 """Silence after which a link with open questions is closed."""
 
-IDLE_TIMEOUT_S = 4 * placing_service.PULSE_IDLE_S
+IDLE_TIMEOUT_S = 4 * placing_service.KEEPALIVE_IDLE_S
 
 BATCH_DELAY_S = 0.02
 """Maximum delay of events other than questions, to send them in batches."""
--- a/cardamombarrow/peers/placing_service.py
+++ b/cardamombarrow/peers/placing_service.py
@@ -22,15 +22,15 @@
 
 __all__ = [
     "ENTRY_TIMEOUT_S",
-    "PULSE_BUSY_S",
-    "PULSE_IDLE_S",
+    "KEEPALIVE_BUSY_S",
+    "KEEPALIVE_IDLE_S",
     "PlacingService",
 ]
 
-PULSE_BUSY_S = 0.2
+KEEPALIVE_BUSY_S = 0.2
 """Maximum time between two messages to an entry with open questions."""
 
-PULSE_IDLE_S = 1.0
+KEEPALIVE_IDLE_S = 1.0
 """Maximum time between two messages to an entry without open questions."""
 
 ENTRY_TIMEOUT_S = 10.0
@@ -40,7 +40,7 @@
 
 LOADS_TIMEOUT_S = 3.0
 """The same for the placer of another domain, which sends a message at least
-every `placing_teller.KEEPALIVE_S`. Its loads are outdated by then."""
+every `load_publisher.KEEPALIVE_S`. Its loads are outdated by then."""
 
 
 class _AnswerQueue:
@@ -181,5 +181,5 @@
     # The entry sends no questions before the first message from here.
     await stream.send_message(placing_pb2.PlacingReply())
     while True:
-        keepalive_s = PULSE_BUSY_S if owner.tickets else PULSE_IDLE_S
+        keepalive_s = KEEPALIVE_BUSY_S if owner.tickets else KEEPALIVE_IDLE_S
         await stream.send_message(await queue.take(keepalive_s))
--- a/cardamombarrow/peers/secret.py
+++ b/cardamombarrow/peers/secret.py
@@ -22,7 +22,14 @@
 from grpclib import events
 from grpclib import exceptions
 
-__all__ = ["HEADER", "TIME_WINDOW_S", "Guard", "channel", "guard", "token"]
+__all__ = [
+    "HEADER",
+    "TIME_WINDOW_S",
+    "Guard",
+    "channel",
+    "require_tokens",
+    "token",
+]
 
 HEADER = "x-cardamombarrow-auth"
 
@@ -76,7 +83,7 @@
         self._wall_clock = wall_clock
         self._seen: dict[str, float] = {}
 
-    def refuse(self, presented: str, method: str) -> str | None:
+    def rejection_reason(self, presented: str, method: str) -> str | None:
         """Returns why a token is rejected, or None if it is accepted."""
         now_unix_s = self._wall_clock()
         try:
@@ -106,7 +113,7 @@
             del self._seen[nonce]
 
 
-def guard(server: object, secret: str) -> None:
+def require_tokens(server: object, secret: str) -> None:
     """Makes a grpclib server refuse every request without a valid token.
 
     Without it, anyone with access to the port could propose edits or claims.
@@ -119,7 +126,7 @@
 
     async def check(event: events.RecvRequest) -> None:
         presented = str(event.metadata.get(HEADER, ""))
-        reason = token_guard.refuse(presented, event.method_name)
+        reason = token_guard.rejection_reason(presented, event.method_name)
         if reason is not None:
             raise exceptions.GRPCError(const.Status.UNAUTHENTICATED, reason)
 
--- a/cardamombarrow/peers/server.py
+++ b/cardamombarrow/peers/server.py
@@ -35,7 +35,7 @@
 
     async def _start(self) -> None:
         self._server = server.Server(self._services)
-        secret_module.guard(self._server, self._secret)
+        secret_module.require_tokens(self._server, self._secret)
         await self._server.start(self._host, self._port)
 
     def stop(self) -> None:
--- a/cardamombarrow/peers/tests/test_confirmations.py
+++ b/cardamombarrow/peers/tests/test_confirmation_batcher.py
@@ -5,7 +5,7 @@
 
 from cardamombarrow.kernel import errors
 from cardamombarrow.log import local
-from cardamombarrow.peers import confirmations
+from cardamombarrow.peers import confirmation_batcher
 
 
 class _Log(local.LocalLog):
@@ -29,7 +29,7 @@
     # answered by this round, which does not cover the change.
     async def run():
         log = _Log()
-        batcher = confirmations.Confirmations(log)
+        batcher = confirmation_batcher.ConfirmationBatcher(log)
         first = asyncio.create_task(batcher.confirm())
         await _settle()
         later = [asyncio.create_task(batcher.confirm()) for _ in range(3)]
@@ -52,11 +52,11 @@
     # for this round and then for another one, and so did their callers.
     async def run():
         log = _Log()
-        batcher = confirmations.Confirmations(log)
+        batcher = confirmation_batcher.ConfirmationBatcher(log)
         first = asyncio.create_task(batcher.confirm())
         await _settle()
         later = asyncio.create_task(batcher.confirm())
-        await asyncio.sleep(1.5 * confirmations.OVERLAP_S)
+        await asyncio.sleep(1.5 * confirmation_batcher.OVERLAP_S)
         assert len(log.barriers) == 2
         for barrier in log.barriers:
             barrier.set_result(b"")
@@ -69,7 +69,7 @@
 def test_without_a_majority_nothing_is_confirmed():
     async def run():
         log = _Log()
-        batcher = confirmations.Confirmations(log)
+        batcher = confirmation_batcher.ConfirmationBatcher(log)
         task = asyncio.create_task(batcher.confirm())
         await _settle()
         log.barriers[0].set_exception(
--- a/cardamombarrow/peers/tests/test_followers.py
+++ b/cardamombarrow/peers/tests/test_followers.py
@@ -29,7 +29,7 @@
 
 def test_a_follower_one_behind_gets_only_what_changed(published):
     table, texts = published
-    message = table.newer(8)
+    message = table.update_for(8)
     assert message.text == ""
     patched = text.replace(texts[8], dict(message.changes))
     assert patched == texts[9]
@@ -41,13 +41,13 @@
     # An entry was cut off for long. Changes to a text that the control
     # process no longer has can't be computed.
     table, texts = published
-    assert table.newer(applied).text == texts[9]
+    assert table.update_for(applied).text == texts[9]
 
 
 @pytest.mark.parametrize("applied", [9, 12])
 def test_an_up_to_date_follower_gets_no_document(published, applied):
     table, _ = published
-    message = table.newer(applied)
+    message = table.update_for(applied)
     assert not message.text
     assert not message.changes
 
--- a/cardamombarrow/peers/tests/test_placing_teller.py
+++ b/cardamombarrow/peers/tests/test_load_publisher.py
@@ -8,10 +8,10 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.gossip import rows
 from cardamombarrow.kernel import ids
+from cardamombarrow.peers import load_publisher
 from cardamombarrow.peers import loop as loop_module
 from cardamombarrow.peers import placing_codec
 from cardamombarrow.peers import placing_service
-from cardamombarrow.peers import placing_teller
 from cardamombarrow.peers import server as server_module
 from tools import deployment
 from tools import proxy
@@ -45,7 +45,7 @@
     ],
 )
 def test_only_changed_and_ended_loads_are_sent(before, now, told):
-    updates = placing_teller.changed(before, now)
+    updates = load_publisher.changed(before, now)
     assert {name: len(load.ranks) for name, load in updates.items()} == told
 
 
@@ -101,7 +101,7 @@
     """A publisher, and the loads that it publishes."""
     loads = {_ONE: _load(2)}
     placing = [True]
-    made = placing_teller.LoadTeller(
+    made = load_publisher.LoadPublisher(
         loop, _SENDER, _SECRET, lambda: dict(loads), lambda: placing[0]
     )
     made.loads, made.placing = loads, placing
--- a/cardamombarrow/peers/tests/test_packing.py
+++ b/cardamombarrow/peers/tests/test_packing.py
@@ -29,7 +29,7 @@
         b"plain text",
         packing.pack("cut short")[:-1],
         zlib.compress(b"\xff"),
-        zlib.compress(bytes(packing.MOST_BYTES + 1)),
+        zlib.compress(bytes(packing.MAX_TEXT_BYTES + 1)),
     ],
     ids=["empty", "plain", "cut", "no UTF-8", "too long"],
 )
--- a/cardamombarrow/peers/tests/test_placing.py
+++ b/cardamombarrow/peers/tests/test_placing.py
@@ -72,7 +72,7 @@
         self.address = f"127.0.0.1:{deployment.free_ports(1)[0]}"
         self.members = {}
         self.placer = placer_module.Placer(
-            self.broker.for_domain, self.loop.soon
+            self.broker.for_domain, self.loop.call_soon
         )
         self.services = [placing_service.PlacingService(self.placer, dict)]
         self.server = None
@@ -200,7 +200,7 @@
     for number in range(slots):
         _place(entries[number % 2], number)
     waiting = entries[1].broker.submit(_job(slots))
-    time.sleep(3 * placing_client.ANSWER_S)
+    time.sleep(3 * placing_client.ANSWER_TIMEOUT_S)
     assert not waiting.placed.done()
     entries[0].broker.finish(ids.RequestId("r0"), messages.Outcome.DONE)
     waiting.placed.result(timeout=_LIMIT_S)
@@ -215,7 +215,7 @@
     for number in range(slots):
         _place(entries[0], number)
     waiting = entries[1].broker.submit(_job(slots))
-    time.sleep(3 * placing_client.ANSWER_S)
+    time.sleep(3 * placing_client.ANSWER_TIMEOUT_S)
     entries[1].broker.withdraw(waiting)
     for number in range(slots):
         entries[0].broker.finish(
@@ -367,7 +367,7 @@
     with proxy.Proxy() as proxies:
         link = proxies.link("second", "first", first.address)
         second.members = {**second.members, first.name: link.address}
-        second.client._loop.soon(
+        second.client._loop.call_soon(
             lambda: second.client._link.close("moves", failed=False)
         )
         _wait_until(lambda: not second.is_connected_to(first))
@@ -376,7 +376,7 @@
         for number in range(slots):
             _place(first, number)
         waiting = second.broker.submit(_job(slots))
-        time.sleep(3 * placing_client.ANSWER_S)
+        time.sleep(3 * placing_client.ANSWER_TIMEOUT_S)
         assert second.client._link.questions
         link.silence(new_too=False)
         for number in range(slots):
--- a/cardamombarrow/peers/tests/test_secret.py
+++ b/cardamombarrow/peers/tests/test_secret.py
@@ -44,7 +44,7 @@
     ],
 )
 def test_an_invalid_token_is_rejected(shown, reason):
-    assert reason in _guard().refuse(shown, _METHOD)
+    assert reason in _guard().rejection_reason(shown, _METHOD)
 
 
 def test_a_token_is_accepted_once():
@@ -52,19 +52,19 @@
     # claim or an edit would be proposed in the name of another instance.
     guard = _guard()
     shown = secret.token("right-secret-0123", _METHOD, 1_000.0)
-    assert guard.refuse(shown, _METHOD) is None
-    assert guard.refuse(shown, _METHOD) == "token used before"
+    assert guard.rejection_reason(shown, _METHOD) is None
+    assert guard.rejection_reason(shown, _METHOD) == "token used before"
 
 
 def test_nonces_are_discarded_only_when_their_tokens_are_too_old():
     now_s = [1_000.0]
     guard = secret.Guard("right-secret-0123", lambda: now_s[0])
     ahead = secret.token("right-secret-0123", _METHOD, 1_059.0)
-    assert guard.refuse(ahead, _METHOD) is None
+    assert guard.rejection_reason(ahead, _METHOD) is None
     now_s[0] = 1_118.0
     other = secret.token("right-secret-0123", _METHOD, 1_118.0)
-    assert guard.refuse(other, _METHOD) is None
-    assert guard.refuse(ahead, _METHOD) == "token used before"
+    assert guard.rejection_reason(other, _METHOD) is None
+    assert guard.rejection_reason(ahead, _METHOD) == "token used before"
 
 
 class _NoMachine:
@@ -77,7 +77,7 @@
         local.LocalLog("v", _NoMachine()), lambda: machine.Accepted(0, "")
     )
     served = server.Server([service])
-    secret.guard(served, "right-secret-0123")
+    secret.require_tokens(served, "right-secret-0123")
     await served.start("127.0.0.1", 0)
     port = served._server.sockets[0].getsockname()[1]
     if shown_secret is None:
