--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -132,7 +132,7 @@
     for name, address in zip(names, addresses, strict=True):
         node = _CountingNode(
             loop,
-            table_module.Table(name, 1, rows.Head(address, 1), 0.0),
+            table_module.Table(name, 1, rows.RowHeader(address, 1), 0.0),
             gossip_node.GossipSettings(
                 ids.DomainId("nuwara-a"),
                 address,
@@ -141,7 +141,7 @@
             ),
             gossip_node.GossipHooks(
                 collect=_Load(name, endpoints, names).collect,
-                urgent=lambda: False,
+                has_urgent_changes=lambda: False,
                 on_changes=lambda changes, now_s: False,
                 on_members=lambda members, gone: None,
                 document=lambda: control_pb2.DocumentMessage(revision=1),
--- a/cardamombarrow/control/state.py
+++ b/cardamombarrow/control/state.py
@@ -189,7 +189,7 @@
         raw = json.loads(
             # The snapshot comes from this process or another member. With a
             # size limit, one that has grown beyond it could not be restored.
-            snapshot if plain else packing.unpack(snapshot, most_bytes=0)
+            snapshot if plain else packing.unpack(snapshot, max_bytes=0)
         )
         self.document = document_machine.DocumentState.from_json(
             raw["document"]
--- a/cardamombarrow/control/tests/test_state.py
+++ b/cardamombarrow/control/tests/test_state.py
@@ -25,7 +25,7 @@
     # maximum size of an edition. If it could be written but not read, the
     # control process could never start again.
     original = _state(kandula_text)
-    monkeypatch.setattr(packing, "MOST_BYTES", 100)
+    monkeypatch.setattr(packing, "MAX_TEXT_BYTES", 100)
     restored = state.ControlState()
     restored.restore(original.snapshot())
     assert restored.document.accepted == original.document.accepted
--- /dev/null
+++ b/cardamombarrow/peers/cache_report_relay.py
@@ -0,0 +1,127 @@
+"""Relays between entries which engines have cached which parts of prompts.
+
+Each entry reports with each request for a confirmation, and gets the reports
+of other entries since then with the reply. Control processes query each other
+once a second for the reports of their own entries. The traffic between regions
+therefore does not grow with the number of receiving entries, no entry needs a
+link to other domains, and no extra messages are sent.
+
+All reports are hints: if one is lost, an engine processes the part again.
+"""
+
+import collections
+from collections import abc
+import dataclasses
+import random
+
+from cardamombarrow.peers import control_pb2
+
+__all__ = ["CacheReportRelay"]
+
+REPORT_TTL_S = 5.0
+"""How long a report is relayed: several requests of entries and of other
+control processes fit in."""
+
+MAX_GROUPS = 4_000
+"""Maximum number of stored groups of parts: 80 entries that use 10 engines a
+second each."""
+
+MAX_PARTS_PER_REPLY = 2_000
+"""Maximum number of parts in one reply, 8 to 11 KB: 18 ms on a link of
+5 Mbit/s."""
+
+MAX_AGE_MS = 60_000
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class _Group:
+    number: int
+    added_s: float
+    instance: str
+    parts: control_pb2.KeptParts
+
+
+class CacheReportRelay:
+    """Recent reports, in the order of arrival.
+
+    Numbers begin at a random value, so that a number of another process, or of
+    this one before a restart, returns all stored reports.
+    """
+
+    def __init__(self, rng: random.Random):
+        self._number = self._first = rng.getrandbits(31) << 32
+        self._groups: collections.deque[_Group] = collections.deque(
+            maxlen=MAX_GROUPS
+        )
+
+    def put(
+        self,
+        reports: abc.Iterable[control_pb2.KeptParts],
+        instance: str,
+        now_s: float,
+    ) -> None:
+        """Adds reports.
+
+        Args:
+            reports: The parts, by engine.
+            instance: The reporting entry; empty if another control process
+                relays the reports of its entries.
+            now_s: The current time.
+        """
+        for parts in reports:
+            self._number += 1
+            self._groups.append(_Group(self._number, now_s, instance, parts))
+
+    def since(
+        self, number: int, instance: str, now_s: float
+    ) -> tuple[list[control_pb2.KeptParts], int]:
+        """Returns the reports that are new to an entry, and the next number.
+
+        Args:
+            number: The number of the last reply.
+            instance: The entry; its own reports are left out.
+            now_s: The current time.
+        """
+        return self._select(
+            number, now_s, lambda group: group.instance != instance
+        )
+
+    def own_since(
+        self, number: int, now_s: float
+    ) -> tuple[list[control_pb2.KeptParts], int]:
+        """Returns the same for another control process.
+
+        Only reports that entries sent here: control processes query each
+        other, so relayed reports would circulate between them.
+        """
+        return self._select(number, now_s, lambda group: bool(group.instance))
+
+    def _select(
+        self,
+        number: int,
+        now_s: float,
+        is_wanted: abc.Callable[[_Group], bool],
+    ) -> tuple[list[control_pb2.KeptParts], int]:
+        while self._groups and now_s - self._groups[0].added_s > REPORT_TTL_S:
+            self._groups.popleft()
+        if not self._first <= number <= self._number:
+            number = self._first
+        reports: list[control_pb2.KeptParts] = []
+        left = MAX_PARTS_PER_REPLY
+        # The newest first: beyond the limit, the oldest are left out.
+        for group in reversed(self._groups):
+            if group.number <= number or left <= 0:
+                break
+            if is_wanted(group):
+                left -= len(group.parts.parts)
+                reports.append(_aged(group, now_s))
+        return reports, self._number
+
+
+def _aged(group: _Group, now_s: float) -> control_pb2.KeptParts:
+    """Returns the parts of a group with their current age."""
+    parts = control_pb2.KeptParts()
+    parts.CopyFrom(group.parts)
+    held_ms = int((now_s - group.added_s) * 1_000)
+    parts.age_ms = min(parts.age_ms + held_ms, MAX_AGE_MS)
+    return parts
--- a/cardamombarrow/peers/control_service.py
+++ b/cardamombarrow/peers/control_service.py
@@ -1,4 +1,4 @@
-"""The control process's side of `control.proto`."""
+"""gRPC service of a control process; see `control.proto`."""
 
 import asyncio
 from collections import abc
@@ -11,29 +11,30 @@
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 from cardamombarrow.log import base
+from cardamombarrow.peers import cache_report_relay
 from cardamombarrow.peers import codec
-from cardamombarrow.peers import collecting
-from cardamombarrow.peers import confirmations as confirmations_module
+from cardamombarrow.peers import confirmation_batcher as batcher_module
 from cardamombarrow.peers import control_grpc
 from cardamombarrow.peers import control_pb2
 from cardamombarrow.peers import followers as followers_module
-from cardamombarrow.peers import kept_board
+from cardamombarrow.peers import metering_collector
 
 __all__ = ["ControlService"]
 
 PROPOSE_TIMEOUT_S = 3.0
 
-ADDRESSES_TOLD = 5
-"""Entries of its domain that an entry is told of; gossip finds the others."""
+MAX_ENTRY_ADDRESSES = 5
+"""Maximum number of addresses of other entries in a reply to an entry; it
+finds the others of its domain by gossip."""
 
 
 class ControlService(control_grpc.ControlBase):
-    """Serves entries; lives on the loop thread.
+    """Serves entries; runs on the loop thread.
 
     Attributes:
-        followers: The entries that follow, and the document they get.
-        kept: What entries tell each other of engines' caches.
-        metered: What entries have counted, and the time that is agreed on.
+        followers: The entries that follow this process and their document.
+        kept: What entries share about the caches of engines.
+        metered: Usage and demand counted by entries, and the agreed time.
     """
 
     def __init__(
@@ -44,15 +45,17 @@
     ):
         self._log = log
         self._accepted = accepted
-        self._confirmations = confirmations_module.Confirmations(log)
-        self.kept = kept_board.KeptBoard(random.Random())
-        self.metered = collecting.MeteringCollector()
+        self._batcher = batcher_module.ConfirmationBatcher(log)
+        self.cache_reports = cache_report_relay.CacheReportRelay(
+            random.Random()
+        )
+        self.collector = metering_collector.MeteringCollector()
         self.followers = followers_module.Followers(
             lambda: log.status().has_quorum, domain
         )
 
     async def Propose(self, stream: server.Stream) -> None:  # noqa: N802
-        """Hands a command to the log."""
+        """Proposes a command to the log."""
         command = await stream.recv_message()
         try:
             answer = await asyncio.wait_for(
@@ -73,7 +76,7 @@
         await stream.send_message(reply)
 
     async def Follow(self, stream: server.Stream) -> None:  # noqa: N802
-        """Serves an entry's standing link."""
+        """Serves the link of an entry."""
         await self.followers.serve(stream)
 
     async def Document(self, stream: server.Stream) -> None:  # noqa: N802
@@ -85,12 +88,12 @@
         await stream.send_message(document)
 
     async def Confirm(self, stream: server.Stream) -> None:  # noqa: N802
-        """Answers which revision is the newest, as a majority knows it."""
+        """Answers with the newest revision, confirmed by a majority."""
         request = await stream.recv_message()
         reply = control_pb2.ConfirmReply()
-        self.kept.put(request.kept, request.instance, time.monotonic())
-        self.metered.merge_request(request)
-        if await self._confirmations.confirm():
+        self.cache_reports.put(request.kept, request.instance, time.monotonic())
+        self.collector.merge_request(request)
+        if await self._batcher.confirm():
             reply.confirmed = True
             accepted = self._accepted()
             newer = accepted.revision > request.applied_revision
@@ -99,26 +102,26 @@
             reply.document.text = accepted.text if newer else ""
             domain = ids.DomainId(request.domain)
             reply.controls.extend(self._log.addresses())
-            reply.entry_count = self.followers.count_heard()
+            reply.entry_count = self.followers.count_recent()
             reply.entries.extend(
-                self.followers.addresses(domain, ADDRESSES_TOLD)
+                self.followers.addresses(domain, MAX_ENTRY_ADDRESSES)
             )
             reply.placers.extend(self.followers.placers(domain))
-            kept, reply.kept_number = self.kept.since(
+            reports, reply.kept_number = self.cache_reports.since(
                 request.kept_since, request.instance, time.monotonic()
             )
-            reply.kept.extend(kept)
-            reply.unix_s = self.metered.unix_s()
-            reply.boot = self.metered.boot
+            reply.kept.extend(reports)
+            reply.unix_s = self.collector.unix_s()
+            reply.boot = self.collector.boot
         await stream.send_message(reply)
 
     async def Followers(self, stream: server.Stream) -> None:  # noqa: N802
-        """Answers with the entries heard of, and what they told."""
+        """Answers with the known entries and the data that they reported."""
         request = await stream.recv_message()
         reply = self.followers.rows()
-        kept, reply.kept_number = self.kept.own_since(
+        reports, reply.kept_number = self.cache_reports.own_since(
             request.kept_since, time.monotonic()
         )
-        reply.kept.extend(kept)
-        self.metered.fill_reply(request, reply)
+        reply.kept.extend(reports)
+        self.collector.fill_reply(request, reply)
         await stream.send_message(reply)
--- a/cardamombarrow/peers/gossip_codec.py
+++ b/cardamombarrow/peers/gossip_codec.py
@@ -1,7 +1,7 @@
-"""Between the gossip table's messages and protobuf.
+"""Conversion between the gossip table's messages and protobuf.
 
-Times go over the wire as ages or as time left: the clocks of two instances
-have nothing in common.
+Times are sent as ages or as remaining times, because the clocks of two
+instances are independent.
 """
 
 from collections import abc
@@ -21,7 +21,7 @@
 _MS = 1_000
 
 _ENDED = -1.0
-"""Stands for a rate limit that has ended."""
+"""Wire value of a rate limit that has ended."""
 
 
 def digest_to_wire(digest: rows.Digest) -> list[gossip_pb2.GossipDigestRow]:
@@ -52,7 +52,7 @@
         version=delta.version,
         since=delta.since,
         age_ms=int(delta.age_s * _MS),
-        # It never changes within an incarnation.
+        # The address never changes within an incarnation.
         address=delta.head.address if delta.since == 0 else "",
         applied_revision=delta.head.applied_revision,
         left=delta.head.left,
@@ -116,7 +116,7 @@
 def _put_listing(
     wire: gossip_pb2.GossipRow,
     name: str,
-    value: rows.ListingMark | None,
+    value: rows.ListingStamp | None,
     now_s: float,
 ) -> None:
     if value is not None:
@@ -165,7 +165,7 @@
         version=wire.version,
         since=wire.since,
         age_s=wire.age_ms / _MS,
-        head=rows.Head(
+        head=rows.RowHeader(
             wire.address, ids.Revision(wire.applied_revision), wire.left
         ),
         items=list(_items(wire, now_s)),
@@ -194,7 +194,7 @@
         read_s = now_s - wire.listing_age_ms / _MS
         yield (
             (kind.LISTING, ""),
-            rows.ListingMark(wire.listing_hash, read_s),
+            rows.ListingStamp(wire.listing_hash, read_s),
         )
     yield from _rate_limits(wire, now_s)
     yield from _reports(wire, now_s)
