--- a/cardamombarrow/log/leading.py
+++ b/cardamombarrow/log/leading.py
@@ -335,13 +335,10 @@
     def _removable_member(self) -> membership_module.Member | None:
         """Returns the longest silent member above the wanted number."""
         state = self._state
-        membership, membership_policy = (
-            state.log.membership,
-            state.membership_policy,
-        )
-        if not membership_policy.wanted_voters:
+        membership, policy = state.log.membership, state.membership_policy
+        if not policy.wanted_voters:
             return None
-        spare = len(membership.voters) > membership_policy.wanted_voters
+        spare = len(membership.voters) > policy.wanted_voters
         candidates = membership.learners + (membership.voters if spare else ())
         by_contact = [
             (self.progress_of(member.id).last_contact_s, member)
@@ -349,7 +346,7 @@
             if member.id != state.me.id
         ]
         last_contact_s, member = min(by_contact, default=(state.now_s, None))
-        if state.now_s - last_contact_s < membership_policy.remove_after_s:
+        if state.now_s - last_contact_s < policy.remove_after_s:
             return None
         return member
 
