--- a/cardamombarrow/log/core.py
+++ b/cardamombarrow/log/core.py
@@ -59,7 +59,7 @@
             timing: Timeouts and intervals of the protocol.
             contacts: The other processes in the settings' list of voters;
                 their `id` is the name without the random part.
-            is_founder: Whether this process is the first in that list.
+            is_founder: Whether this process may found the group.
             keep_entries: Entries retained before a snapshot.
             membership_policy: How the leader changes the membership without
                 an operator.
