--- a/cardamombarrow/decisions/tests/conftest.py
+++ b/cardamombarrow/decisions/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Jobs, documents and dispatchers for the tests of the decisions."""
+"""Fixtures for jobs, documents and dispatchers."""
 
 from collections import abc
 import dataclasses
@@ -68,7 +68,7 @@
 
 @pytest.fixture(scope="session")
 def document() -> schema.Document:
-    """Three tiers, one service with two near endpoints and a far one."""
+    """Three tiers; one service with two local endpoints and a remote one."""
     digests = {
         "one": "a" * 64,
         "two": "b" * 64,
@@ -79,7 +79,7 @@
 
 @pytest.fixture(scope="session")
 def new_job(document) -> NewJob:
-    """Makes jobs of a class."""
+    """Returns a factory of jobs."""
     numbers = itertools.count()
 
     def make(
@@ -107,7 +107,7 @@
 
 @pytest.fixture(scope="session")
 def context(document) -> context_module.PolicyContext:
-    """What a policy is built from."""
+    """Context of the policies under test."""
     return context_module.PolicyContext(
         document,
         ids.InstanceId("entry-1"),
@@ -118,7 +118,7 @@
 
 @pytest.fixture(scope="session")
 def new_dispatcher(context) -> NewDispatcher:
-    """Makes dispatchers with some policies and slots per endpoint."""
+    """Returns a factory of dispatchers with given slots and policies."""
 
     def make(slots: int = 8, **policies: str) -> core.Dispatcher:
         document = context.document
--- a/cardamombarrow/decisions/tests/test_choice.py
+++ b/cardamombarrow/decisions/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""The choice by expected finish, and the probation of failing endpoints."""
+"""Choice by expected finish, and probation of failing endpoints."""
 
 import collections
 
@@ -36,7 +36,7 @@
     return end_s
 
 
-def _chosen(policy, states, job, now_s, rounds=100):
+def _count_chosen(policy, states, job, now_s, rounds=100):
     return collections.Counter(
         states.index(policy.choose(job, states, now_s)[0])
         for _ in range(rounds)
@@ -44,10 +44,10 @@
 
 
 @pytest.mark.parametrize("plugin", PLUGINS)
-def test_straggler_is_left_within_a_few_requests(plugin, context, new_job):
-    """An engine turns ten times slower while its report shows the past.
+def test_straggler_is_avoided_after_a_few_requests(plugin, context, new_job):
+    """An engine turns ten times slower before its load report shows it.
 
-    Its callers would wait ten times as long for as long as it gets its turn.
+    Sent there round robin, requests would take ten times as long.
     """
     policy = plugin(context)
     states = _states()
@@ -55,29 +55,28 @@
         _run(policy, state, new_job(), 0.0, 0.1, 40, 0.02)
     for _ in range(3):
         _run(policy, states[0], new_job(), 1.0, 1.0, 40, 0.2)
-    assert 0 not in _chosen(policy, states, new_job(), 9.1)
+    assert 0 not in _count_chosen(policy, states, new_job(), 9.1)
 
 
 @pytest.mark.parametrize("plugin", PLUGINS)
-def test_running_requests_show_a_straggler(plugin, context, new_job):
-    """An engine stops short in mid-answer, so no request on it ends.
+def test_running_requests_reveal_a_straggler(plugin, context, new_job):
+    """An engine hangs in mid-answer, so no request on it ends.
 
-    What only ends could teach would come too late: each request that is sent
-    there meanwhile waits as well.
+    An estimate from ended requests alone would send more requests there.
     """
     policy = plugin(context)
     states = _states()
     for state in states:
         _run(policy, state, new_job(), 0.0, 0.1, 40, 0.02)
-    stuck = new_job()
-    states[0].running[stuck.request_id] = messages.Running(
-        stuck, states[0].endpoint, 1.0, first_token_s=1.1, tokens=3
+    hanging = new_job()
+    states[0].running[hanging.request_id] = messages.Running(
+        hanging, states[0].endpoint, 1.0, first_token_s=1.1, tokens=3
     )
-    assert 0 not in _chosen(policy, states, new_job(), 3.0)
+    assert 0 not in _count_chosen(policy, states, new_job(), 3.0)
 
 
-def test_straggler_is_tried_again_after_a_while(context, new_job):
-    """A recovered engine must get work again, though nothing reports it."""
+def test_straggler_is_tried_again_later(context, new_job):
+    """A recovered engine must get requests again without any notification."""
     policy = choice.LeastFinishChoice(context)
     states = _states()
     for state in states:
@@ -90,15 +89,15 @@
             state.running[job.request_id] = messages.Running(
                 job, state.endpoint, 90.0, first_token_s=90.1, tokens=40
             )
-    assert 0 in _chosen(policy, states, new_job(), 91.0)
+    assert 0 in _count_chosen(policy, states, new_job(), 91.0)
 
 
 @pytest.mark.parametrize("plugin", PLUGINS)
 def test_fail_fast_endpoint_gets_probes_only(plugin, context, new_job):
     """An engine refuses each request within milliseconds, so it looks idle.
 
-    When all others are full it is the only one with a free slot: it would
-    get each waiting request in turn, and fail it.
+    While all others are full it is the only one with a free slot, and would
+    get and fail every waiting request.
     """
     policy = plugin(context)
     state = _states(1)[0]
@@ -119,8 +118,8 @@
     assert policy.available(new_job(), state, 101.2)
 
 
-def test_probe_is_not_spent_on_unrepeatable_work(context, new_job):
-    """A probe may fail; a charge that may have run cannot be sent again."""
+def test_probe_is_not_an_unrepeatable_job(context, new_job):
+    """A probe may fail, and a request that may have run can't be repeated."""
     policy = choice.TwoCandidatesChoice(context)
     state = _states(1)[0]
     running = messages.Running(new_job(), state.endpoint, 0.0)
@@ -131,43 +130,47 @@
 
 
 @pytest.mark.parametrize("plugin", PLUGINS)
-def test_shared_prefix_goes_home_until_home_is_loaded(plugin, context, new_job):
-    """Many requests begin with the same long prompt.
+def test_prefix_affinity_holds_until_its_endpoint_is_loaded(
+    plugin, context, new_job
+):
+    """Many requests share a long prefix.
 
-    Spread over all engines each reads it anew; all sent to one, that one is
-    overrun while the others idle.
+    Spread over all engines, each engine prefills it again; all sent to one,
+    that one is overloaded while the others idle.
     """
     policy = plugin(context)
     states = _states()
     prompt = {"prefix_key": "shared", "prompt_tokens": 3_000}
     policy.choose(new_job(**prompt), states, 0.0)
-    chosen = _chosen(policy, states, new_job(**prompt), 1.0)
-    home, count = chosen.most_common(1)[0]
+    chosen = _count_chosen(policy, states, new_job(**prompt), 1.0)
+    affinity, count = chosen.most_common(1)[0]
     assert count == 100
     for n in range(7):
         job = new_job()
-        states[home].running[job.request_id] = messages.Running(
-            job, states[home].endpoint, 1.0 - 0.1 * n, first_token_s=1.0
+        states[affinity].running[job.request_id] = messages.Running(
+            job, states[affinity].endpoint, 1.0 - 0.1 * n, first_token_s=1.0
         )
-    chosen = _chosen(policy, states, new_job(**prompt), 3.0)
-    assert chosen[home] < 50
+    chosen = _count_chosen(policy, states, new_job(**prompt), 3.0)
+    assert chosen[affinity] < 50
 
 
-def test_homes_of_prefixes_are_spread(context, new_job):
-    """A checksum taken as weight left one of four engines without prefixes."""
+def test_prefixes_are_spread_over_endpoints(context, new_job):
+    """With a plain checksum as weight, one of four engines got no prefixes."""
     policy = choice.TwoCandidatesChoice(context)
     states = _states()
-    homes = collections.Counter()
+    affinities = collections.Counter()
     for n in range(200):
         job = new_job(prefix_key=f"shared-{n}", prompt_tokens=3_000)
         policy.choose(job, states, 0.0)
-        homes[_chosen(policy, states, job, 0.1, rounds=1).most_common()[0]] += 1
-    assert min(homes.values()) > 25
-    assert len(homes) == 4
+        affinities[
+            _count_chosen(policy, states, job, 0.1, rounds=1).most_common()[0]
+        ] += 1
+    assert min(affinities.values()) > 25
+    assert len(affinities) == 4
 
 
 def test_in_flight_counts_what_a_late_report_misses(new_job):
-    """Reports lag by seconds: a burst of ours would not be in them at all."""
+    """Reports lag by seconds, so they lack a burst of own requests."""
     state = _states(1)[0]
     for placed_s in (1.0, 2.0, 6.0, 7.0):
         job = new_job()
--- a/cardamombarrow/decisions/tests/test_endpoint_overload.py
+++ b/cardamombarrow/decisions/tests/test_endpoint_overload.py
@@ -1,8 +1,8 @@
-"""Load patterns in virtual time: the endpoint side, by what callers get.
+"""Endpoint load patterns in virtual time, judged by the callers' results.
 
-Each pattern is run with the document's default policies, and again with the
-baseline in the place of the policy that answers it: the second run shows that
-the pattern does harm and that the check notices it.
+Each pattern runs with the document's default policies, and again with the
+baseline of the policy under test. The second run shows that the pattern does
+harm and that the check detects it.
 """
 
 import dataclasses
@@ -23,11 +23,11 @@
     return benchmarks.run(patterns.PATTERNS[name], policies, SEEDS)
 
 
-def _ours(slot: str) -> schema.Policies:
-    """The defaults; for the limits ours, with plain policies around.
+def _tested_policies(slot: str) -> schema.Policies:
+    """Returns the default policies, except for the slot `limits`.
 
-    They are not the default, and preemption and admission hide much of what
-    they do.
+    There it returns the baseline with the gradient limits, which are not the
+    default. Preemption and admission would hide most of their effect.
     """
     if slot != "limits":
         return schema.Policies()
@@ -41,7 +41,7 @@
 
 def _with_baseline(slot: str) -> schema.Policies:
     baseline = getattr(benchmarks.BASELINE, slot)
-    return dataclasses.replace(_ours(slot), **{slot: baseline})
+    return dataclasses.replace(_tested_policies(slot), **{slot: baseline})
 
 
 def _chat(result: results.Result) -> results.ClassResult:
@@ -49,56 +49,56 @@
 
 
 def _many_prefixes(result: results.Result) -> bool:
-    # Twelve long prompts are shared by many requests; each engine's cache
-    # holds three. Read anew by every engine, they hold up whoever is behind.
+    # Many requests share twelve long prompts; each engine's cache holds three.
+    # If every engine prefills all of them, the requests behind are delayed.
     return result.cached_share > 0.2
 
 
 def _slow_endpoint(result: results.Result) -> bool:
-    # One engine is four times slower from the start. Callers who are sent
-    # there in turn wait many seconds for a first word.
+    # One engine is four times slower from the start. Requests sent there round
+    # robin wait many seconds for a first token.
     return _chat(result).worst_wait_s < 5.0
 
 
 def _straggler(result: results.Result) -> bool:
     # An engine turns ten times slower and its report shows it five seconds
-    # late. A family's answer that is sent there misses its target.
+    # late. Requests sent there miss their target.
     return _chat(result).attainment_share > 0.985
 
 
 def _fail_fast(result: results.Result) -> bool:
-    # An engine refuses everything within milliseconds and so looks idle.
-    # Requests are lost that others would have answered.
+    # An engine refuses all requests within milliseconds and so looks idle.
+    # Requests that other engines could have answered are lost.
     rows = result.classes.values()
     return all(row.completed == row.offered for row in rows)
 
 
 def _memory_short(result: results.Result) -> bool:
-    # Every engine holds half of what the document says. Filled up they
-    # compute evicted work again, and letters break off at their deadline.
+    # Every engine's memory holds half of what the document says. Filled up,
+    # they recompute evicted requests, and letters end at their deadline.
     letters = result.classes[patterns.LETTER]
     return letters.attainment_share > 0.85 and result.wasted_share < 0.03
 
 
 def _entries_late(result: results.Result) -> bool:
-    # Six of ten callers come to one of four entries, and what the entries
-    # hear of each other is three seconds old. The busy one queues beside
-    # idle slots of the others.
+    # Six of ten requests arrive at one of four entries, and the entries'
+    # information on each other is three seconds old. The busy one queues
+    # requests while the others have free slots.
     return _chat(result).attainment_share > 0.99 and result.most_over_limit <= 2
 
 
 def _entries_cut(result: results.Result) -> bool:
-    # The same, and from a moment on the entries hear nothing of each other.
-    # Taking each other for gone they would overrun every engine.
+    # As in `_entries_late`, until the entries are partitioned. If each assumed
+    # that the others were gone, they would overload every engine.
     desk = result.classes[patterns.DESK]
     return desk.attainment_share > 0.88 and result.most_over_limit <= 2
 
 
 def _crashing_request(result: results.Result) -> bool:
-    # Two requests end the process of each engine that runs them, and are
-    # sent again through any entry, with innocent requests beside them.
-    innocents_kept = not result.innocents_quarantined
-    return result.crashes <= 6 and innocents_kept
+    # Two requests crash each engine that runs them, and are retried through
+    # any entry, next to innocent requests.
+    none_quarantined = not result.innocents_quarantined
+    return result.crashes <= 6 and none_quarantined
 
 
 CASES = [
@@ -114,10 +114,10 @@
 
 
 @pytest.mark.parametrize(("name", "slot", "holds"), CASES)
-def test_pattern_is_answered(name, slot, holds):
-    assert holds(_run(name, _ours(slot)))
+def test_pattern_is_handled(name, slot, holds):
+    assert holds(_run(name, _tested_policies(slot)))
 
 
 @pytest.mark.parametrize(("name", "slot", "holds"), CASES)
-def test_pattern_does_harm_without_the_module(name, slot, holds):
+def test_pattern_does_harm_with_the_baseline(name, slot, holds):
     assert not holds(_run(name, _with_baseline(slot)))
--- a/cardamombarrow/decisions/tests/test_estimate.py
+++ b/cardamombarrow/decisions/tests/test_estimate.py
@@ -1,4 +1,4 @@
-"""Lengths of answers, unknown beforehand."""
+"""Estimated answer lengths."""
 
 import random
 
@@ -19,15 +19,15 @@
         policy.learn(job, max(1, round(rng.gauss(mean, mean / 10))))
 
 
-def test_document_guess_holds_until_answers_were_seen(policy, new_job):
+def test_document_value_is_used_without_answers(policy, new_job):
     assert policy.expected_tokens(new_job("letter")) == 500
     policy.learn(new_job("letter"), 5)
     assert policy.expected_tokens(new_job("letter")) == 500
 
 
-def test_workspace_of_long_answers_is_told_apart(policy, new_job):
-    # One clinic's chat answers run ten times as long as the others'. Taken
-    # for average ones, they would cost it a tenth of what they take.
+def test_workspace_with_long_answers_gets_its_own_estimate(policy, new_job):
+    # One workspace's chat answers are ten times as long as the others'. With
+    # the average estimate it would be charged a tenth of what it uses.
     for seed in range(30):
         _learn(policy, new_job("chat", workspace="one"), 100, 9, seed)
         _learn(policy, new_job("chat", workspace="two"), 1000, 1, seed)
@@ -40,8 +40,8 @@
 
 
 def test_estimate_follows_a_change_of_lengths(policy, new_job):
-    # A new model version answers four times as long. An estimate over all
-    # that ever was would take days to notice.
+    # A new model version gives four times as long answers. An estimate over
+    # the whole history would take days to adapt.
     _learn(policy, new_job("letter"), 200, 5000)
     _learn(policy, new_job("letter"), 800, 520, seed=2)
     assert policy.quantile("letter", 0.5) == pytest.approx(800, rel=0.1)
@@ -53,7 +53,7 @@
     assert policy.expected_tokens(new_job("letter", max_tokens=20)) == 20
 
 
-def test_answers_without_tokens_teach_nothing(policy, new_job):
+def test_empty_answers_are_ignored(policy, new_job):
     for _ in range(50):
         policy.learn(new_job("summary"), 0)
     assert policy.expected_tokens(new_job("summary")) == 250
@@ -77,5 +77,5 @@
 
 def test_error_is_a_third_of_the_plain_mean(policy, context, new_job):
     plain = baselines.MeanEstimate(context)
-    ours = _mean_error(policy, new_job)
-    assert ours < _mean_error(plain, new_job) / 3
+    error = _mean_error(policy, new_job)
+    assert error < _mean_error(plain, new_job) / 3
--- a/cardamombarrow/decisions/tests/test_fetching.py
+++ b/cardamombarrow/decisions/tests/test_fetching.py
@@ -1,4 +1,4 @@
-"""Whether an engine fetches a prompt's beginning or reads it."""
+"""Whether an engine fetches a cached prefix or prefills it."""
 
 import pytest
 
@@ -6,28 +6,26 @@
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
-_NEAR = fetching.Source(10_000, True, ids.EndpointId("near"))
-_FAR = fetching.Source(10_000, False, ids.EndpointId("far"))
+_LOCAL = fetching.Source(10_000, True, ids.EndpointId("near"))
+_REMOTE = fetching.Source(10_000, False, ids.EndpointId("far"))
 
 
 @pytest.mark.parametrize(
     ("kept_tokens", "sources", "target_s", "expected"),
     [
-        (0, [_FAR], 2.5, _FAR),
-        # Of two with the same the nearer one is asked.
-        (0, [_FAR, _NEAR], 2.5, _NEAR),
-        # What the engine has itself, or reads in a few ms, is not fetched.
-        (9_900, [_FAR], 2.5, None),
-        (10_000, [_NEAR], 2.5, None),
+        (0, [_REMOTE], 2.5, _REMOTE),
+        # Of two with the same prefix, the one in the same domain is used.
+        (0, [_REMOTE, _LOCAL], 2.5, _LOCAL),
+        # What is in its own cache or prefills in a few ms is not fetched.
+        (9_900, [_REMOTE], 2.5, None),
+        (10_000, [_LOCAL], 2.5, None),
         (0, [], 2.5, None),
-        # A question with half a second can't wait for another region.
-        (0, [_FAR], 0.5, None),
-        (0, [_NEAR], 0.5, _NEAR),
+        # A target of half a second is too short for another region.
+        (0, [_REMOTE], 0.5, None),
+        (0, [_LOCAL], 0.5, _LOCAL),
     ],
 )
-def test_where_a_beginning_is_fetched_from(
-    kept_tokens, sources, target_s, expected
-):
+def test_source_of_a_fetch(kept_tokens, sources, target_s, expected):
     assert fetching.source_for(kept_tokens, sources, target_s) == expected
 
 
@@ -35,7 +33,7 @@
     ("token_bytes", "mbit_per_s", "expected_s"),
     [(35_136, 1_000_000.0, 2.81e-7), (327_680, 320_000.0, 8.19e-6)],
 )
-def test_the_pace_of_a_transfer_follows_from_the_document(
+def test_transfer_time_follows_from_the_document(
     token_bytes, mbit_per_s, expected_s
 ):
     service = schema.Service(
@@ -48,7 +46,7 @@
     assert token_s == pytest.approx(expected_s, rel=0.01)
 
 
-def test_engines_of_which_no_link_is_told_fetch_nothing():
+def test_engines_without_a_configured_link_fetch_nothing():
     service = schema.Service(
         ids.ServiceId("letters"), schema.ServiceKind.ENGINE
     )
--- a/cardamombarrow/decisions/tests/test_kept.py
+++ b/cardamombarrow/decisions/tests/test_kept.py
@@ -1,4 +1,4 @@
-"""What an instance believes of engines' caches, and tells the others."""
+"""Directory of cached prompt parts and its announcements."""
 
 import pytest
 
@@ -24,37 +24,37 @@
     )
 
 
-def _note(parts, endpoint, *names, now_s=0.0):
+def _record(parts, endpoint, *names, now_s=0.0):
     for name in names:
         parts.note(kept.part_key(name), endpoint, now_s)
 
 
-def test_a_part_counts_only_with_all_parts_before_it():
-    # An engine that keeps the second part and not the first reads both.
+def test_part_counts_only_with_all_parts_before_it():
+    # An engine that holds the second part but not the first prefills both.
     parts = kept.KeptParts()
-    _note(parts, _A, "one", "two")
-    _note(parts, _B, "two", "three")
+    _record(parts, _A, "one", "two")
+    _record(parts, _B, "two", "three")
     assert parts.leading_tokens(_job("one", "two", "three"), 1.0) == {_A: 200}
 
 
-def test_what_was_not_used_for_long_counts_as_dropped():
+def test_unused_part_counts_as_evicted():
     parts = kept.KeptParts()
-    _note(parts, _A, "one")
+    _record(parts, _A, "one")
     assert parts.leading_tokens(_job("one"), kept.LIFE_S - 1.0)
     assert not parts.leading_tokens(_job("one"), kept.LIFE_S + 1.0)
 
 
-def test_an_engine_that_crashed_keeps_nothing():
-    # It is back under the name that it had. Requests that were sent to it for
-    # its cache would all be read anew there.
+def test_crashed_engine_holds_no_parts():
+    # It restarts under the same id with an empty cache. Requests sent there for
+    # their cached prefix would all need a prefill.
     parts = kept.KeptParts()
-    _note(parts, _A, "one")
-    _note(parts, _B, "one")
+    _record(parts, _A, "one")
+    _record(parts, _B, "one")
     parts.drop(_A)
     assert parts.leading_tokens(_job("one"), 1.0) == {_B: 100}
 
 
-def test_other_instances_know_what_one_has_had_read():
+def test_parts_are_announced_to_other_instances():
     one, other = kept.KeptParts(), kept.KeptParts()
     key = kept.part_key("one")
     one.note(key, _A, 5.0)
@@ -63,22 +63,22 @@
     assert other.used_s(key, _A) == pytest.approx(104.5)
 
 
-def test_a_part_is_told_once_while_it_is_used_again_and_again():
-    # A hot beginning is used many times a second by every instance. Told each
-    # time, it would fill the links between regions with what all know.
+def test_part_in_continuous_use_is_announced_once():
+    # Every instance uses a popular prefix many times a second. Announcing each
+    # use would fill the links between regions with redundant messages.
     one = kept.KeptParts()
     key = kept.part_key("one")
-    told = 0
+    announced = 0
     for step in range(100):
         one.tell(key, _A, 0.05 * step)
-        told += len(one.take_news(0.05 * step))
-    assert told == 1
+        announced += len(one.take_news(0.05 * step))
+    assert announced == 1
     one.tell(key, _A, kept.RETELL_S + 0.1)
     assert one.take_news(kept.RETELL_S + 0.1)
 
 
-def test_what_was_heard_is_not_told_on():
-    # It would go round between the instances for ever.
+def test_received_part_is_not_forwarded():
+    # It would circulate between the instances forever.
     one = kept.KeptParts()
     key = kept.part_key("one")
     one.hear([messages.KeptNews(_A, (key,), 0.0)], 1.0)
@@ -86,7 +86,7 @@
     assert not one.take_news(2.0)
 
 
-def test_what_is_remembered_and_told_is_bounded():
+def test_stored_and_announced_parts_are_bounded():
     parts = kept.KeptParts()
     for step in range(2 * kept.PARTS):
         parts.note(step, _A, float(step))
--- a/cardamombarrow/decisions/tests/test_lanes.py
+++ b/cardamombarrow/decisions/tests/test_lanes.py
@@ -1,11 +1,11 @@
-"""Which endpoints are kept for short requests."""
+"""Partition of endpoints into short-request and long-prompt ones."""
 
 import pytest
 
 from cardamombarrow.decisions import lanes
 
 
-def _places(**counts):
+def _endpoints(**counts):
     return [
         (domain, f"{domain}-{number}:80#i-{number}")
         for domain, count in counts.items()
@@ -23,24 +23,24 @@
         ({"a": 15, "b": 15, "c": 15}, 16),
     ],
 )
-def test_a_part_of_the_endpoints_is_quiet(counts, quiet):
-    assert len(lanes.quiet_endpoints(_places(**counts))) == quiet
+def test_size_of_the_short_request_partition(counts, quiet):
+    assert len(lanes.quiet_endpoints(_endpoints(**counts))) == quiet
 
 
-def test_instances_agree_in_whatever_order_they_hear_of_endpoints():
-    places = _places(a=4, b=3, c=5)
-    quiet = lanes.quiet_endpoints(places)
-    assert lanes.quiet_endpoints(reversed(places)) == quiet
+def test_partition_is_independent_of_the_endpoint_order():
+    endpoints = _endpoints(a=4, b=3, c=5)
+    short_request = lanes.quiet_endpoints(endpoints)
+    assert lanes.quiet_endpoints(reversed(endpoints)) == short_request
 
 
-def test_each_domain_with_several_gets_one_before_any_gets_two():
-    quiet = lanes.quiet_endpoints(_places(a=2, b=1, c=2))
-    assert {endpoint[0] for endpoint in quiet} == {"a", "c"}
+def test_each_domain_with_several_endpoints_gets_one_first():
+    short_request = lanes.quiet_endpoints(_endpoints(a=2, b=1, c=2))
+    assert {endpoint[0] for endpoint in short_request} == {"a", "c"}
 
 
-def test_the_loss_of_an_endpoint_moves_few_others():
-    places = _places(a=5, b=5, c=5)
-    quiet = lanes.quiet_endpoints(places)
-    for lost in range(len(places)):
-        left = places[:lost] + places[lost + 1 :]
-        assert len(lanes.quiet_endpoints(left) - quiet) <= 1
+def test_loss_of_an_endpoint_moves_few_others():
+    endpoints = _endpoints(a=5, b=5, c=5)
+    short_request = lanes.quiet_endpoints(endpoints)
+    for lost in range(len(endpoints)):
+        remaining = endpoints[:lost] + endpoints[lost + 1 :]
+        assert len(lanes.quiet_endpoints(remaining) - short_request) <= 1
--- a/cardamombarrow/decisions/tests/test_others_load.py
+++ b/cardamombarrow/decisions/tests/test_others_load.py
@@ -1,4 +1,4 @@
-"""What other deciding instances have on an endpoint counts there."""
+"""Load that other placing instances report for an endpoint."""
 
 import dataclasses
 import random
@@ -15,7 +15,7 @@
 from cardamombarrow.kernel import ids
 
 _PEER = ids.InstanceId("placer of another domain")
-_OTHER = ids.InstanceId("placer of a third one")
+_OTHER_PEER = ids.InstanceId("placer of a third one")
 
 
 def _state():
@@ -24,10 +24,10 @@
     )
 
 
-def test_reading_that_others_gave_it_passes_with_time():
+def test_reported_prefill_decreases_with_time():
     state = _state()
     state.others[_PEER] = messages.OthersLoad((0, 0), 2, 10_000.0, 100.0)
-    state.others[_OTHER] = messages.OthersLoad((0,), 1, 1_000.0, 100.0)
+    state.others[_OTHER_PEER] = messages.OthersLoad((0,), 1, 1_000.0, 100.0)
     token_s = 0.0001
     assert state.others_reading_s(token_s, 100.0) == pytest.approx(1.1)
     assert state.others_reading_s(token_s, 100.5) == pytest.approx(0.5)
@@ -77,9 +77,9 @@
     ]
 
 
-def test_an_endpoint_that_others_have_filled_gets_nothing(dispatcher):
-    # A burst in the next domain fills engines here. Placed on them too, the
-    # requests of both wait inside the engine, where no urgent one overtakes.
+def test_endpoint_filled_by_other_instances_gets_nothing(dispatcher):
+    # A burst in another domain fills engines here. Further requests would wait
+    # inside the engine, where an urgent one can't overtake them.
     full, *others = many_entries.ENDPOINTS
     loads = {
         each: messages.OthersLoad((0,) * 12, 0, 0.0, 0.0) for each in others
@@ -94,7 +94,7 @@
     assert [each.request_id for each in dispatcher.place(0.0)] == ["r2"]
 
 
-def test_an_endpoint_that_reads_for_others_is_passed_over(dispatcher):
+def test_endpoint_with_reported_prefill_is_avoided(dispatcher):
     free = many_entries.ENDPOINTS[3]
     loads = {
         each: messages.OthersLoad((0,), 1, 50_000.0, 0.0)
@@ -105,12 +105,12 @@
     assert _place(dispatcher, 1) == [free]
 
 
-def test_what_is_told_of_own_requests(dispatcher):
+def test_reported_load_of_own_requests(dispatcher):
     [endpoint] = _place(dispatcher, 1)
-    told = dispatcher.own_loads(5.0)
-    assert told[endpoint].ranks == (0,)
-    assert told[endpoint].unread == 1
-    assert told[endpoint].unread_tokens == pytest.approx(1_000.0)
+    reported = dispatcher.own_loads(5.0)
+    assert reported[endpoint].ranks == (0,)
+    assert reported[endpoint].unread == 1
+    assert reported[endpoint].unread_tokens == pytest.approx(1_000.0)
     dispatcher.first_token(ids.RequestId("r1"), 0.2)
     assert dispatcher.own_loads(5.0)[endpoint].unread == 0
 
@@ -126,11 +126,11 @@
     return job
 
 
-def test_an_urgent_request_goes_where_only_less_urgent_ones_have_the_places(
+def test_urgent_request_goes_to_an_endpoint_full_of_less_urgent_ones(
     dispatcher,
 ):
-    # Long digests hold every place for seconds. A runner's question that
-    # waits until one of them ends is late; the engine would put one back.
+    # Long digests hold every slot for seconds. An urgent question that waits
+    # for one of them to end is late, though the engine would preempt one.
     full = dict.fromkeys(
         many_entries.ENDPOINTS, messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
     )
@@ -140,11 +140,11 @@
     assert len(_place(dispatcher, 2)) == 1
 
 
-def test_an_urgent_request_takes_a_free_place_before_it_displaces(dispatcher):
-    # Every engine but one is full of digests. To put one back costs the engine
-    # the reading of its prompt, to take the free place costs nothing.
-    places = [(driver.DOMAIN, each) for each in many_entries.ENDPOINTS]
-    free = min(lanes.quiet_endpoints(places))
+def test_urgent_request_prefers_a_free_slot_to_preemption(dispatcher):
+    # Every engine but one is full of digests. Preempting one of them wastes its
+    # prefill; the free slot costs nothing.
+    endpoints = [(driver.DOMAIN, each) for each in many_entries.ENDPOINTS]
+    free = min(lanes.quiet_endpoints(endpoints))
     digests = messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
     loads = dict.fromkeys(many_entries.ENDPOINTS, digests)
     loads[free] = messages.OthersLoad((2,) * 11, 1, 3_000.0, 0.0)
@@ -152,9 +152,9 @@
     assert _place(dispatcher, 1) == [free]
 
 
-def test_an_endpoint_that_puts_nothing_back_is_not_filled_beyond_its_places():
-    # Engines of other kinds only queue what is above their places, or fail.
-    # Handed an urgent request all the same, they make it late or lose it.
+def test_endpoint_without_preemption_is_not_filled_beyond_its_slots():
+    # Engines without preemption queue requests beyond their slots, or fail. An
+    # urgent request sent there all the same would be late or lost.
     dispatcher = _whole_domain(choice="two-candidates")
     full = dict.fromkeys(
         many_entries.ENDPOINTS, messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
--- a/cardamombarrow/decisions/tests/test_plain_calls.py
+++ b/cardamombarrow/decisions/tests/test_plain_calls.py
@@ -1,4 +1,4 @@
-"""Where calls without a prompt are sent: short work of varying length."""
+"""Placement of calls without a prompt: short requests of varying length."""
 
 import heapq
 import random
@@ -13,12 +13,12 @@
 from cardamombarrow.kernel import ids
 
 _TARGET_S = 0.224
-_FAR_S = 0.09
+_REMOTE_S = 0.09
 _SERVERS = {"one-1": "one", "two-1": "two", "three-1": "three"}
 
 
 def document():
-    """Returns a document of one plain service, anyone's."""
+    """Returns a document with one plain service, open to all callers."""
     service = schema.Service(
         ids.ServiceId("bookings"), schema.ServiceKind.PLAIN, 6
     )
@@ -39,7 +39,7 @@
 
 
 def call(name, now_s):
-    """Returns a call that may be repeated."""
+    """Returns a repeatable call."""
     return messages.Job(
         request_id=ids.RequestId(f"lookup-{name}"),
         workspace=schema.ANYBODY,
@@ -56,11 +56,11 @@
     )
 
 
-class _World:
+class _Simulation:
     """Three servers, one in each domain, and the entry of domain one.
 
     Args:
-        work_s: Tells what a run at a server takes, and how it ends.
+        work_s: Returns the duration of a run at a server and whether it fails.
     """
 
     def __init__(self, work_s, seed=1):
@@ -84,8 +84,8 @@
         self.took_s = {}
         self._arrived_s = {}
 
-    def play(self, calls, gap_s):
-        """Sends calls one after the other and lets all end."""
+    def run(self, calls, gap_s):
+        """Sends calls at a fixed interval and runs until all have ended."""
         for number in range(calls):
             now_s = number * gap_s
             self._advance(now_s)
@@ -112,52 +112,52 @@
             server = decision.endpoint
             self.placed.append((now_s, server))
             work_s, failed = self._work_s(self._rng, server, now_s)
-            far_s = 0.0 if _SERVERS[server] == "one" else _FAR_S
+            remote_s = 0.0 if _SERVERS[server] == "one" else _REMOTE_S
             outcome = messages.Outcome.DONE
             if failed:
                 outcome = messages.Outcome.FAILURE_ANSWERED
             heapq.heappush(
                 self._ends,
-                (now_s + work_s + far_s, decision.request_id, outcome),
+                (now_s + work_s + remote_s, decision.request_id, outcome),
             )
 
-    def away(self, since_s=0.0):
+    def remote_share(self, from_s=0.0):
         """Returns the share of runs at servers of other domains."""
-        placed = [s for at_s, s in self.placed if at_s >= since_s]
+        placed = [s for at_s, s in self.placed if at_s >= from_s]
         return sum(_SERVERS[s] != "one" for s in placed) / len(placed)
 
 
 def _work(rng):
-    """Mean 22 ms, half as much deviation, one in a hundred five times that."""
+    """Mean 22 ms, deviation half of that; one in a hundred: 5 times longer."""
     work_s = min(rng.lognormvariate(-3.92, 0.47), 0.11)
     return 5.0 * work_s if rng.random() < 0.01 else work_s
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_calls_stay_near_while_a_long_one_runs(seed):
-    # Among calls of some 20 ms one in seven takes most of a second, and
-    # holds one of six places for it. An entry that takes it for congestion
-    # sends the calls of that second to another domain, where the way alone
-    # costs a third of their target, and users of a service that is hardly
-    # used see late answers.
+def test_calls_stay_in_their_domain_while_a_long_one_runs(seed):
+    # Among calls of some 20 ms one in seven takes most of a second, and holds
+    # one of six slots. An entry that mistakes it for congestion sends the calls
+    # of that second to another domain, where the network latency alone takes a
+    # third of their target, and answers are late although the load is low.
     def work_s(rng, server, now_s):
         return (0.9 if rng.random() < 0.15 else _work(rng)), False
 
-    world = _World(work_s, seed)
-    world.play(400, 0.5)
-    assert world.away() < 0.1
+    simulation = _Simulation(work_s, seed)
+    simulation.run(400, 0.5)
+    assert simulation.remote_share() < 0.1
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_failed_call_is_in_time_at_another_server(seed):
-    # A service answers one call in seven with an error wherever it runs. The
-    # retry has to reach another domain and be answered there before a target
-    # that leaves room for little more than both runs.
-    world = _World(lambda rng, *_: (_work(rng), rng.random() < 0.14), seed)
-    world.play(400, 0.1)
-    late = sum(took_s > _TARGET_S for took_s in world.took_s.values())
-    assert late / len(world.took_s) < 0.03
-    assert world.away() < 0.25
+def test_retry_at_another_server_meets_the_target(seed):
+    # One call in seven fails at any server. The retry has to be answered in
+    # another domain within a target that is hardly longer than both runs.
+    simulation = _Simulation(
+        lambda rng, *_: (_work(rng), rng.random() < 0.14), seed
+    )
+    simulation.run(400, 0.1)
+    late = sum(took_s > _TARGET_S for took_s in simulation.took_s.values())
+    assert late / len(simulation.took_s) < 0.03
+    assert simulation.remote_share() < 0.25
 
 
 @pytest.mark.parametrize(
@@ -169,15 +169,14 @@
     ],
     ids=["slow", "failing", "stuck"],
 )
-def test_a_server_that_does_badly_is_left_to_others(broken):
+def test_degraded_server_is_avoided(broken):
     # The only server of a domain turns slow, fails most calls or hangs while
-    # those of other domains are well. Callers see late or failed answers for
-    # as long as it is used.
+    # those of other domains work. Answers are late or fail while it is used.
     def work_s(rng, server, now_s):
         if server == "one-1" and now_s >= 10.0:
             return broken(rng)
         return _work(rng), False
 
-    world = _World(work_s)
-    world.play(600, 0.05)
-    assert world.away(since_s=14.0) > 0.6
+    simulation = _Simulation(work_s)
+    simulation.run(600, 0.05)
+    assert simulation.remote_share(from_s=14.0) > 0.6
--- a/cardamombarrow/decisions/tests/test_preemption.py
+++ b/cardamombarrow/decisions/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Which running request gives way, and when none does."""
+"""Which running request is preempted, and when."""
 
 import pytest
 
@@ -27,9 +27,9 @@
     ]
 
 
-def test_least_progress_gives_way_once_a_target_is_in_danger(full, new_job):
-    # Letters hold every slot for ten seconds more. A family's question would
-    # wait for one of them to end, whatever the order of the queue.
+def test_least_progress_is_preempted_once_a_target_is_at_risk(full, new_job):
+    # Letters hold every slot for another ten seconds. Without preemption an
+    # urgent question waits for one of them to end, whatever the queue order.
     chat = new_job("chat", 1.0)
     assert full.offer(chat, 1.0) is None
     assert _preempted(full, 1.0) == []
@@ -43,7 +43,7 @@
     assert full.wasted_tokens == 100
 
 
-def test_undelivered_run_goes_first_and_is_queued_again(full, new_job):
+def test_request_without_tokens_is_preempted_first_and_requeued(full, new_job):
     full.finish("letter-9", messages.Outcome.DONE, 1.0)
     fresh = new_job("letter", 1.0)
     assert full.offer(fresh, 1.0) is None
@@ -56,29 +56,29 @@
     assert full.retry(fresh, messages.Outcome.PREEMPTED, 1.8)
 
 
-def test_reserved_share_and_unrepeatable_runs_are_left_alone(
+def test_reserved_share_and_unrepeatable_requests_are_protected(
     new_dispatcher, new_job
 ):
-    # The last letters of the reserved share give way to no burst, and a
-    # charge that may run once must never be cut.
+    # No burst preempts the letters within the reserved share, and a request
+    # that may run only once must never be preempted.
     dispatcher = new_dispatcher(preemption="least-progress")
     for number in range(16):
         name, repeatable = f"letter-{number}", number >= 8
         job = new_job("letter", request_id=name, repeatable=repeatable)
         dispatcher.offer(job, 0.0)
     list(dispatcher.place(0.0))
-    gone = []
+    preempted = []
     for number in range(20):
         now_s = float(number)
         dispatcher.offer(new_job("chat", now_s), now_s)
         dispatcher.refresh_shares(now_s + 0.7)
         for name in _preempted(dispatcher, now_s + 0.7):
-            gone.append(name)
+            preempted.append(name)
             dispatcher.finish(name, messages.Outcome.PREEMPTED, now_s + 0.8)
-    assert sorted(gone) == sorted(f"letter-{n}" for n in range(8, 16))
+    assert sorted(preempted) == sorted(f"letter-{n}" for n in range(8, 16))
 
 
-def test_equal_and_higher_tiers_never_give_way(new_dispatcher, new_job):
+def test_equal_and_higher_tiers_are_never_preempted(new_dispatcher, new_job):
     dispatcher = new_dispatcher(preemption="least-progress")
     for number in range(16):
         job = new_job("summary" if number % 2 else "chat")
--- a/cardamombarrow/decisions/tests/test_rate_limits.py
+++ b/cardamombarrow/decisions/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits that endpoints state."""
+"""Rate limits that endpoints advertise."""
 
 import random
 
@@ -13,38 +13,38 @@
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 
-_ONE = "10.0.0.1:80"
+_ENDPOINT = "10.0.0.1:80"
 
 
 def _limit(per_s, heard_s):
     return messages.RateLimit(per_s, heard_s)
 
 
-def test_a_limit_holds_until_an_answer_says_otherwise():
+def test_limit_applies_until_an_answer_replaces_it():
     limits = rate_limits.RateLimits()
-    assert limits.hear(_ONE, _limit(None, 1.0)) is None
-    assert limits.hear(_ONE, _limit(2.0, 2.0)).per_s is None
-    assert limits.hear(_ONE, _limit(2.0, 3.0)) is None
-    assert limits.limit(_ONE).per_s == 2.0
-    assert limits.hear(_ONE, _limit(None, 4.0)).per_s == 2.0
-    assert limits.limit(_ONE) is None
+    assert limits.hear(_ENDPOINT, _limit(None, 1.0)) is None
+    assert limits.hear(_ENDPOINT, _limit(2.0, 2.0)).per_s is None
+    assert limits.hear(_ENDPOINT, _limit(2.0, 3.0)) is None
+    assert limits.limit(_ENDPOINT).per_s == 2.0
+    assert limits.hear(_ENDPOINT, _limit(None, 4.0)).per_s == 2.0
+    assert limits.limit(_ENDPOINT) is None
 
 
-def test_an_older_word_does_not_end_a_limit():
+def test_older_answer_does_not_end_a_limit():
     limits = rate_limits.RateLimits()
-    limits.hear(_ONE, _limit(2.0, 2.0))
-    assert limits.hear(_ONE, _limit(None, 1.5)) is None
-    assert limits.limit(_ONE).per_s == 2.0
+    limits.hear(_ENDPOINT, _limit(2.0, 2.0))
+    assert limits.hear(_ENDPOINT, _limit(None, 1.5)) is None
+    assert limits.limit(_ENDPOINT).per_s == 2.0
 
 
-def test_what_is_remembered_of_endpoints_is_bounded():
+def test_number_of_stored_limits_is_bounded():
     limits = rate_limits.RateLimits()
     for number in range(2 * rate_limits.LIMITS_KEPT):
         limits.hear(f"10.0.0.{number}:80", _limit(1.0, float(number)))
     assert limits.count() == rate_limits.LIMITS_KEPT
 
 
-_HOME = "home"
+_DOMAIN = "home"
 _WINDOW_S = 4.0
 
 
@@ -64,27 +64,27 @@
     hand_over=st.integers(0, 200),
     overlap_s=st.floats(0.0, 2.0),
 )
-def test_two_delegates_that_overlap_keep_a_limit(
+def test_overlapping_delegates_comply_with_a_limit(
     limit_per_s, gaps_s, hand_over, overlap_s
 ):
-    # Guards against a new delegate that spends what the one before has spent.
-    part = rate_limits.delegate_part(limit_per_s, _ONE, _HOME, _HOME)
+    # Guards against a new delegate that uses tokens its predecessor has used.
+    part = rate_limits.delegate_part(limit_per_s, _ENDPOINT, _DOMAIN, _DOMAIN)
     before, after = rate_limits.RateLimits(), rate_limits.RateLimits()
     after.set_delegate(False)
-    now_s, ends_s = 0.0, float("inf")
+    now_s, overlap_ends_s = 0.0, float("inf")
     sent_s = []
     for number, gap_s in enumerate(gaps_s):
         now_s += gap_s
         if number == hand_over:
             after.set_delegate(True)
-            ends_s = now_s + overlap_s
-        if now_s > ends_s:
+            overlap_ends_s = now_s + overlap_s
+        if now_s > overlap_ends_s:
             before.set_delegate(False)
         for limits in (before, after):
             while limits.is_delegate and (
-                limits.ready_s(_ONE, part, now_s) <= now_s
+                limits.ready_s(_ENDPOINT, part, now_s) <= now_s
             ):
-                limits.spend(_ONE, part, now_s)
+                limits.spend(_ENDPOINT, part, now_s)
                 sent_s.append(now_s)
     assert _most_in_window(sent_s) <= _allowed(limit_per_s)
 
@@ -92,42 +92,44 @@
 @pytest.mark.parametrize("domains", [2, 6, 11])
 @pytest.mark.parametrize("seed", range(5))
 def test_probes_of_idle_domains_do_not_come_at_once(domains, seed):
-    # Guards against probes that each domain saved until the same burst.
+    # Guards against probes that all domains save up until the same burst.
     rng = random.Random(seed)
     burst_s = rng.uniform(40.0, 200.0)
     probes = 0
     for number in range(1, domains):
         own = f"domain-{number}"
-        part = rate_limits.delegate_part(1.0, _ONE, _HOME, own)
+        part = rate_limits.delegate_part(1.0, _ENDPOINT, _DOMAIN, own)
         limits = rate_limits.RateLimits()
         begin_s = rng.uniform(0.0, 2.0)
         for step in range(int((burst_s - begin_s) / 0.5)):
-            limits.ready_s(_ONE, part, begin_s + 0.5 * step)
-        probes += limits.ready_s(_ONE, part, burst_s) <= burst_s + _WINDOW_S
+            limits.ready_s(_ENDPOINT, part, begin_s + 0.5 * step)
+        probes += (
+            limits.ready_s(_ENDPOINT, part, burst_s) <= burst_s + _WINDOW_S
+        )
     assert probes + 4.0 * rate_limits.USED_SHARE + 1.0 <= _allowed(1.0)
 
 
-def test_an_instance_that_becomes_delegate_begins_with_nothing_saved():
-    part = rate_limits.delegate_part(5.0, _ONE, _HOME, _HOME)
+def test_new_delegate_starts_with_an_empty_bucket():
+    part = rate_limits.delegate_part(5.0, _ENDPOINT, _DOMAIN, _DOMAIN)
     limits = rate_limits.RateLimits()
-    limits.ready_s(_ONE, part, 0.0)
-    assert limits.ready_s(_ONE, part, 10.0) == 10.0
+    limits.ready_s(_ENDPOINT, part, 0.0)
+    assert limits.ready_s(_ENDPOINT, part, 10.0) == 10.0
     assert limits.set_delegate(False)
     assert limits.set_delegate(True)
-    assert limits.ready_s(_ONE, part, 10.0) > 10.0
+    assert limits.ready_s(_ENDPOINT, part, 10.0) > 10.0
 
 
-def test_only_first_hand_limits_are_told_and_their_end_for_a_while():
+def test_only_own_limits_and_recent_ends_are_announced():
     limits = rate_limits.RateLimits()
-    limits.hear(_ONE, _limit(1.0, 0.0))
+    limits.hear(_ENDPOINT, _limit(1.0, 0.0))
     limits.hear("10.0.0.2:80", _limit(1.0, 0.0), first_hand=False)
-    assert list(limits.to_tell(100.0)) == [_ONE]
-    limits.hear(_ONE, _limit(None, 100.0))
-    assert limits.to_tell(101.0)[_ONE].per_s is None
+    assert list(limits.to_tell(100.0)) == [_ENDPOINT]
+    limits.hear(_ENDPOINT, _limit(None, 100.0))
+    assert limits.to_tell(101.0)[_ENDPOINT].per_s is None
     assert not limits.to_tell(100.0 + rate_limits.TOLD_S)
 
 
-def _stated(dispatcher, endpoints, per_s, now_s=0.0):
+def _advertise(dispatcher, endpoints, per_s, now_s=0.0):
     for endpoint in endpoints:
         dispatcher.hear_rate_limit(endpoint, _limit(per_s, now_s))
     dispatcher.refresh_shares(now_s)
@@ -147,7 +149,7 @@
     return made
 
 
-_NEAR = (ids.EndpointId("10.0.0.1:80"), ids.EndpointId("10.0.0.2:80"))
+_LOCAL = (ids.EndpointId("10.0.0.1:80"), ids.EndpointId("10.0.0.2:80"))
 
 
 def _placed(dispatcher, now_s):
@@ -158,28 +160,26 @@
     ]
 
 
-def test_who_is_not_delegate_sends_nothing_to_a_limited_endpoint(
-    dispatcher, new_job
-):
+def test_only_the_delegate_sends_to_a_limited_endpoint(dispatcher, new_job):
     dispatcher._context.rate_limits.set_delegate(False)
-    _stated(dispatcher, _NEAR[:1], 5.0)
+    _advertise(dispatcher, _LOCAL[:1], 5.0)
     for _ in range(4):
         assert dispatcher.offer(new_job(arrived_s=10.0), 10.0) is None
-    assert set(_placed(dispatcher, 10.0)) == {_NEAR[1]}
+    assert set(_placed(dispatcher, 10.0)) == {_LOCAL[1]}
 
 
-def test_a_job_that_rate_limits_hold_up_too_long_is_refused_at_once(
+def test_job_that_rate_limits_delay_too_long_is_refused_at_once(
     dispatcher, new_job
 ):
-    _stated(dispatcher, _NEAR, 0.0)
+    _advertise(dispatcher, _LOCAL, 0.0)
     refusal = dispatcher.offer(new_job(), 0.0)
     assert refusal.kind is errors.ErrorKind.OVERLOADED
     assert refusal.retry_after_s > 1.0
 
 
-def test_a_waiting_job_goes_when_the_limit_lets_it_through(dispatcher, new_job):
-    _stated(dispatcher, _NEAR[:1], 2.5)
-    _stated(dispatcher, _NEAR[1:], 0.0)
+def test_waiting_job_is_placed_once_the_limit_allows_it(dispatcher, new_job):
+    _advertise(dispatcher, _LOCAL[:1], 2.5)
+    _advertise(dispatcher, _LOCAL[1:], 0.0)
     assert dispatcher.offer(new_job(), 0.1) is None
     assert not _placed(dispatcher, 0.1)
     now_s = 0.1
@@ -188,15 +188,13 @@
         now_s = dispatcher.next_s()
         assert now_s < 0.92
         placed = _placed(dispatcher, now_s)
-    assert placed == [_NEAR[0]]
+    assert placed == [_LOCAL[0]]
 
 
-def test_plain_calls_are_decided_by_the_placer_while_a_limit_is_stated(
-    dispatcher, new_job
-):
+def test_placer_decides_plain_calls_while_a_limit_applies(dispatcher, new_job):
     job = new_job(streams=False)
     assert not dispatcher.may_ask(job, 0.0)
-    _stated(dispatcher, _NEAR[:1], 5.0)
+    _advertise(dispatcher, _LOCAL[:1], 5.0)
     assert dispatcher.may_ask(job, 0.0)
-    _stated(dispatcher, _NEAR[:1], None, 1.0)
+    _advertise(dispatcher, _LOCAL[:1], None, 1.0)
     assert not dispatcher.may_ask(job, 1.0)
--- a/cardamombarrow/decisions/tests/test_spill.py
+++ b/cardamombarrow/decisions/tests/test_spill.py
@@ -9,7 +9,7 @@
 
 
 @pytest.fixture
-def far():
+def remote():
     return endpoint_module.EndpointState(
         ids.EndpointId("10.0.1.1:80"),
         ids.ServiceId("models"),
@@ -28,15 +28,17 @@
     )
 
 
-def test_only_a_job_in_danger_leaves(context, new_job, far):
-    """Traffic between regions is billed: idle slots there are no reason."""
+def test_only_a_job_at_risk_leaves(context, new_job, remote):
+    """Traffic between regions is billed, so free slots there don't suffice."""
     policy = spill.BudgetSpill(context)
-    assert not policy.allow(new_job(), far, _backlog(0.1), 0.0)
-    assert policy.allow(new_job(), far, _backlog(5.0), 0.0)
+    assert not policy.allow(new_job(), remote, _backlog(0.1), 0.0)
+    assert policy.allow(new_job(), remote, _backlog(5.0), 0.0)
 
 
-def test_budget_ends_and_long_prompts_stay_first(context, new_job, far):
-    """A long burst would send everything away, which shows on the bill."""
+def test_budget_is_bounded_and_long_prompts_stay_first(
+    context, new_job, remote
+):
+    """A long burst must not cause unbounded traffic between regions."""
     policy = spill.BudgetSpill(context)
     long_job = new_job(prompt_tokens=8_000)
     short_job = new_job(prompt_tokens=200)
@@ -46,8 +48,8 @@
         now_s = step * 0.01
         for name, job in (("long", long_job), ("short", short_job)):
             job.arrived_s = now_s
-            if policy.allow(job, far, _backlog(5.0), now_s):
-                policy.on_place(job, far, now_s)
+            if policy.allow(job, remote, _backlog(5.0), now_s):
+                policy.on_place(job, remote, now_s)
                 left[name] += 1
                 sent_bytes += 4.0 * job.prompt_tokens
                 sent_bytes += 200.0 * job.expected_tokens
