--- a/cardamombarrow/decisions/endpoint.py
+++ b/cardamombarrow/decisions/endpoint.py
@@ -64,18 +64,18 @@
         An endpoint whose slots are all taken preempts less urgent requests.
         """
         own = sum(run.job.rank <= rank for run in self.running.values())
-        others = sum(
+        reported = sum(
             other <= rank
             for load in self.others.values()
             for other in load.ranks
         )
-        return own + others
+        return own + reported
 
     @property
     def known_running(self) -> int:
         """Requests on it, with those that other instances reported."""
-        others = sum(len(load.ranks) for load in self.others.values())
-        return len(self.running) + others
+        reported = sum(len(load.ranks) for load in self.others.values())
+        return len(self.running) + reported
 
     @property
     def unread(self) -> int:
--- a/cardamombarrow/decisions/rate_budget.py
+++ b/cardamombarrow/decisions/rate_budget.py
@@ -27,7 +27,7 @@
 
     def has_limit(self, states: _States) -> bool:
         """Returns whether any of the endpoints advertises a limit."""
-        return bool(self._parts(states))
+        return bool(self._rate_shares(states))
 
     def wait_s(self, states: _States, ahead: int, now_s: float) -> float:
         """Returns how long rate limits delay a job.
@@ -41,16 +41,16 @@
             Seconds; 0 if an endpoint has no limit, infinity if all have one
             and another instance is the delegate.
         """
-        parts = self._parts(states)
-        if not parts or len(parts) < len(states):
+        rate_shares = self._rate_shares(states)
+        if not rate_shares or len(rate_shares) < len(states):
             return 0.0
         if not self._limits.is_delegate:
             return math.inf
         ready_s = min(
-            self._limits.ready_s(endpoint, part, now_s)
-            for endpoint, part in parts.items()
+            self._limits.ready_s(endpoint, rate_share, now_s)
+            for endpoint, rate_share in rate_shares.items()
         )
-        rate_per_s = sum(part.per_s for part in parts.values())
+        rate_per_s = sum(rate_share.per_s for rate_share in rate_shares.values())
         return ready_s - now_s + ahead / rate_per_s
 
     def share(
@@ -68,12 +68,12 @@
             share: Its slots that this instance may use without a limit.
             capacity: Slots of its service.
         """
-        part = self._part(state)
-        if part is None:
+        rate_share = self._rate_share(state)
+        if rate_share is None:
             return share
         if not self._limits.is_delegate:
             return 0
-        usable = math.ceil(part.per_s * capacity.mean_hold_s())
+        usable = math.ceil(rate_share.per_s * capacity.mean_hold_s())
         return min(share, max(usable, 1))
 
     def may_send(
@@ -83,12 +83,12 @@
 
         If not, its service will be returned by `due` once one may be sent.
         """
-        part = self._part(state)
-        if part is None:
+        rate_share = self._rate_share(state)
+        if rate_share is None:
             return True
         if not self._limits.is_delegate:
             return False
-        ready_s = self._limits.ready_s(state.endpoint, part, now_s)
+        ready_s = self._limits.ready_s(state.endpoint, rate_share, now_s)
         if ready_s <= now_s:
             return True
         due_s = self._due_s.get(state.service, ready_s)
@@ -97,9 +97,9 @@
 
     def spend(self, state: endpoint_module.EndpointState, now_s: float) -> None:
         """Counts a sent request against its endpoint's limit."""
-        part = self._part(state)
-        if part is not None:
-            self._limits.spend(state.endpoint, part, now_s)
+        rate_share = self._rate_share(state)
+        if rate_share is not None:
+            self._limits.spend(state.endpoint, rate_share, now_s)
 
     def due(self, now_s: float) -> abc.Iterator[ids.ServiceId]:
         """Yields the services with an endpoint that may get a request again."""
@@ -112,13 +112,13 @@
         """Returns when the next service is due, or None."""
         return min(self._due_s.values(), default=None)
 
-    def _parts(self, states: _States) -> dict[ids.EndpointId, rate_limits.Part]:
+    def _rate_shares(self, states: _States) -> dict[ids.EndpointId, rate_limits.Part]:
         if not self._limits.count():
             return {}
-        parts = {state.endpoint: self._part(state) for state in states}
-        return {name: part for name, part in parts.items() if part is not None}
+        rate_shares = {state.endpoint: self._rate_share(state) for state in states}
+        return {name: rate_share for name, rate_share in rate_shares.items() if rate_share is not None}
 
-    def _part(
+    def _rate_share(
         self, state: endpoint_module.EndpointState
     ) -> rate_limits.Part | None:
         limit = self._limits.limit(state.endpoint)
--- a/cardamombarrow/decisions/rate_limits.py
+++ b/cardamombarrow/decisions/rate_limits.py
@@ -228,22 +228,22 @@
             return changed
 
     def ready_s(
-        self, endpoint: ids.EndpointId, part: Part, now_s: float
+        self, endpoint: ids.EndpointId, share: Part, now_s: float
     ) -> float:
         """Returns when a request may be sent; `now_s` if it may be now."""
         with self._lock:
-            bucket = self._bucket(endpoint, part, now_s)
-            tokens = bucket.fill(part.per_s, now_s)
+            bucket = self._bucket(endpoint, share, now_s)
+            tokens = bucket.fill(share.per_s, now_s)
         if tokens >= 1.0 - _ROUNDING_ERROR:
             return now_s
-        return max(now_s, bucket.since_s) + (1.0 - tokens) / part.per_s
+        return max(now_s, bucket.since_s) + (1.0 - tokens) / share.per_s
 
-    def spend(self, endpoint: ids.EndpointId, part: Part, now_s: float) -> None:
+    def spend(self, endpoint: ids.EndpointId, share: Part, now_s: float) -> None:
         """Takes a token for a request; the bucket may become negative."""
         with self._lock:
-            self._bucket(endpoint, part, now_s).spend(part.per_s, now_s)
+            self._bucket(endpoint, share, now_s).spend(share.per_s, now_s)
 
     def _bucket(
-        self, endpoint: ids.EndpointId, part: Part, now_s: float
+        self, endpoint: ids.EndpointId, share: Part, now_s: float
     ) -> _Bucket:
-        return self._buckets.setdefault(endpoint, _Bucket(now_s + part.delay_s))
+        return self._buckets.setdefault(endpoint, _Bucket(now_s + share.delay_s))
