--- a/cardamombarrow/decisions/choice.py
+++ b/cardamombarrow/decisions/choice.py
@@ -20,11 +20,11 @@
 import dataclasses
 
 from cardamombarrow.decisions import context as context_module
+from cardamombarrow.decisions import cost_choice
 from cardamombarrow.decisions import endpoint as endpoint_module
 from cardamombarrow.decisions import failures
 from cardamombarrow.decisions import messages
 from cardamombarrow.decisions import prefixes
-from cardamombarrow.decisions import weighed
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import registry
 
@@ -69,7 +69,7 @@
     updated_at_s: float
 
 
-class FinishChoice(weighed.WeighedChoice):
+class FinishChoice(cost_choice.WeighedChoice):
     """Lowest expected finish among the candidates that a subclass compares."""
 
     def __init__(self, context: context_module.PolicyContext):
@@ -226,7 +226,7 @@
         """
         if not self._prefixes.shared(job.prefix_key, now_s):
             return None
-        return weighed.home_among(job.prefix_key, candidates)
+        return cost_choice.home_among(job.prefix_key, candidates)
 
 
 def _move_towards(
--- a/cardamombarrow/decisions/caches.py
+++ b/cardamombarrow/decisions/engine_caches.py
@@ -1,16 +1,16 @@
 """Cached parts of the prompt that is being placed, by engine.
 
-`kept` stores which engines hold which parts. This module queries it for one job
-and all engines that the job could go to: how many prompt tokens each engine
-would have to prefill, and where the chosen one fetches missing parts from
-(`fetching`).
+`cache_directory` stores which engines hold which parts. This module queries it
+for one job and all engines that the job could go to: how many prompt tokens
+each engine would have to prefill, and where the chosen one fetches missing
+parts from (`fetching`).
 """
 
 from collections import abc
 
+from cardamombarrow.decisions import cache_directory
 from cardamombarrow.decisions import endpoint as endpoint_module
 from cardamombarrow.decisions import fetching
-from cardamombarrow.decisions import kept
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
@@ -28,7 +28,7 @@
     """State of the engines' caches with respect to the current job."""
 
     def __init__(self):
-        self.parts = kept.KeptParts()
+        self.parts = cache_directory.KeptParts()
         self._cached_tokens: dict[ids.EndpointId, int] = {}
         self._domains: dict[ids.EndpointId, ids.DomainId] = {}
 
@@ -94,7 +94,7 @@
         source = fetching.source_for(own_tokens, sources, target_s)
         if source is None:
             return None
-        key = kept.part_key(job.parts[0].part)
+        key = cache_directory.part_key(job.parts[0].part)
         used_s = self.parts.used_s(key, source.endpoint)
         return messages.Fetch(
             source.endpoint,
@@ -127,4 +127,4 @@
 
 
 def _keys(parts: abc.Iterable[messages.PromptPart]) -> abc.Iterator[int]:
-    return (kept.part_key(part.part) for part in parts)
+    return (cache_directory.part_key(part.part) for part in parts)
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -17,19 +17,19 @@
   came, because of other instances' requests or a slow endpoint. It decays
   within seconds, so that the endpoint is tried again;
 - the prefill of the job's own prompt, less the parts in the endpoint's cache;
-- a penalty for leaving the job's partition (see `lanes`): the prefill of a long
-  prompt delays the tokens of short answers on the same engine, and a short
-  request is delayed among long prompts.
+- a penalty for leaving the job's partition (see `length_partition`): the
+  prefill of a long prompt delays the tokens of short answers on the same
+  engine, and a short request is delayed among long prompts.
 
 A call that does not stream has no prompt to prefill: its base latency is the
 median response time of such calls, and one overdue call is ignored.
 
 Cache contents are inferred from what this instance sent there and what other
-instances report (see `kept`); missing parts may be fetched (see `fetching`).
-In addition, rendezvous hashing assigns each shared prefix an affinity endpoint,
-the same on all instances without a message. A prefix that no instance has
-reported is assumed to be partly cached there, because other instances send it
-there too.
+instances report (see `cache_directory`); missing parts may be fetched (see
+`fetching`). In addition, rendezvous hashing assigns each shared prefix an
+affinity endpoint, the same on all instances without a message. A prefix that no
+instance has reported is assumed to be partly cached there, because other
+instances send it there too.
 
 All time constants are of the order of the latency targets.
 """
@@ -37,16 +37,16 @@
 from collections import abc as collections_abc
 import dataclasses
 
-from cardamombarrow.decisions import caches
 from cardamombarrow.decisions import context as context_module
+from cardamombarrow.decisions import cost_choice
 from cardamombarrow.decisions import endpoint as endpoint_module
-from cardamombarrow.decisions import engine_view
+from cardamombarrow.decisions import engine_caches
+from cardamombarrow.decisions import engine_latency
 from cardamombarrow.decisions import failures
 from cardamombarrow.decisions import fetching
-from cardamombarrow.decisions import lanes
+from cardamombarrow.decisions import length_partition
 from cardamombarrow.decisions import messages
-from cardamombarrow.decisions import pace
-from cardamombarrow.decisions import weighed
+from cardamombarrow.decisions import prefill_time
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import registry
@@ -120,17 +120,17 @@
 
 
 @registry.plugin("choice", "first-event")
-class FirstEventChoice(weighed.WeighedChoice):
+class FirstEventChoice(cost_choice.WeighedChoice):
     """Lowest expected time to first token among all candidates."""
 
     displaces = True
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
-        self._engines: dict[ids.EndpointId, engine_view.EngineView] = {}
-        self._prefill_time = pace.ReadingPace()
+        self._engines: dict[ids.EndpointId, engine_latency.EngineView] = {}
+        self._prefill_time = prefill_time.ReadingPace()
         self._expected_s: dict[ids.RequestId, float] = {}
-        self._caches = caches.Caches()
+        self._caches = engine_caches.Caches()
         self._fetch: messages.Fetch | None = None
         self._short_request_endpoints: frozenset[ids.EndpointId] = frozenset()
         self._considered_affinity: tuple[
@@ -159,7 +159,7 @@
         if not job.prefix_key:
             return None
         candidates = partition or candidates
-        return weighed.home_among(job.prefix_key, candidates)
+        return cost_choice.home_among(job.prefix_key, candidates)
 
     def _partition(
         self,
@@ -169,7 +169,7 @@
         """Returns the candidates in the partition of the job."""
         if not job.prompt_tokens:
             return candidates
-        self._short_request_endpoints = lanes.quiet_endpoints(
+        self._short_request_endpoints = length_partition.quiet_endpoints(
             (state.domain, state.endpoint) for state in candidates
         )
         is_long = self._is_long(job)
@@ -413,11 +413,11 @@
 
     def _engine(
         self, state: endpoint_module.EndpointState
-    ) -> engine_view.EngineView:
+    ) -> engine_latency.EngineView:
         engine = self._engines.get(state.endpoint)
         if engine is None:
             is_local = state.domain == self.context.domain
-            engine = engine_view.EngineView(
+            engine = engine_latency.EngineView(
                 LOCAL_BASE_S if is_local else REMOTE_BASE_S
             )
             self._engines[state.endpoint] = engine
@@ -445,7 +445,7 @@
         expected_s = self._expected_s.get(running.job.request_id, took_s)
         engine.late(max(took_s - expected_s, 0.0), now_s)
         unread = running.job.unread_tokens
-        if unread >= pace.LEAST_TOKENS:
+        if unread >= prefill_time.LEAST_TOKENS:
             prefill_s = took_s - engine.fixed_s
             self._prefill_time.learn(state.service, prefill_s / unread)
             return
--- a/cardamombarrow/decisions/rate_budget.py
+++ b/cardamombarrow/decisions/rate_budget.py
@@ -50,7 +50,9 @@
             self._limits.ready_s(endpoint, rate_share, now_s)
             for endpoint, rate_share in rate_shares.items()
         )
-        rate_per_s = sum(rate_share.per_s for rate_share in rate_shares.values())
+        rate_per_s = sum(
+            rate_share.per_s for rate_share in rate_shares.values()
+        )
         return ready_s - now_s + ahead / rate_per_s
 
     def share(
@@ -112,11 +114,19 @@
         """Returns when the next service is due, or None."""
         return min(self._due_s.values(), default=None)
 
-    def _rate_shares(self, states: _States) -> dict[ids.EndpointId, rate_limits.Part]:
+    def _rate_shares(
+        self, states: _States
+    ) -> dict[ids.EndpointId, rate_limits.Part]:
         if not self._limits.count():
             return {}
-        rate_shares = {state.endpoint: self._rate_share(state) for state in states}
-        return {name: rate_share for name, rate_share in rate_shares.items() if rate_share is not None}
+        rate_shares = {
+            state.endpoint: self._rate_share(state) for state in states
+        }
+        return {
+            name: rate_share
+            for name, rate_share in rate_shares.items()
+            if rate_share is not None
+        }
 
     def _rate_share(
         self, state: endpoint_module.EndpointState
--- a/cardamombarrow/decisions/rate_limits.py
+++ b/cardamombarrow/decisions/rate_limits.py
@@ -238,7 +238,9 @@
             return now_s
         return max(now_s, bucket.since_s) + (1.0 - tokens) / share.per_s
 
-    def spend(self, endpoint: ids.EndpointId, share: Part, now_s: float) -> None:
+    def spend(
+        self, endpoint: ids.EndpointId, share: Part, now_s: float
+    ) -> None:
         """Takes a token for a request; the bucket may become negative."""
         with self._lock:
             self._bucket(endpoint, share, now_s).spend(share.per_s, now_s)
@@ -246,4 +248,6 @@
     def _bucket(
         self, endpoint: ids.EndpointId, share: Part, now_s: float
     ) -> _Bucket:
-        return self._buckets.setdefault(endpoint, _Bucket(now_s + share.delay_s))
+        return self._buckets.setdefault(
+            endpoint, _Bucket(now_s + share.delay_s)
+        )
--- a/cardamombarrow/decisions/runs.py
+++ b/cardamombarrow/decisions/runs.py
@@ -5,15 +5,15 @@
 """
 
 from cardamombarrow.decisions import context as context_module
+from cardamombarrow.decisions import dispatcher_state
 from cardamombarrow.decisions import endpoint as endpoint_module
-from cardamombarrow.decisions import knowledge
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
 __all__ = ["Runs"]
 
 
-class Runs(knowledge.Knowledge):
+class Runs(dispatcher_state.Knowledge):
     """The requests on endpoints.
 
     Attributes:
--- a/cardamombarrow/decisions/tests/test_kept.py
+++ b/cardamombarrow/decisions/tests/test_cache_directory.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cardamombarrow.decisions import kept
+from cardamombarrow.decisions import cache_directory
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
@@ -26,28 +26,28 @@
 
 def _record(parts, endpoint, *names, now_s=0.0):
     for name in names:
-        parts.note(kept.part_key(name), endpoint, now_s)
+        parts.note(cache_directory.part_key(name), endpoint, now_s)
 
 
 def test_part_counts_only_with_all_parts_before_it():
     # An engine that holds the second part but not the first prefills both.
-    parts = kept.KeptParts()
+    parts = cache_directory.KeptParts()
     _record(parts, _A, "one", "two")
     _record(parts, _B, "two", "three")
     assert parts.leading_tokens(_job("one", "two", "three"), 1.0) == {_A: 200}
 
 
 def test_unused_part_counts_as_evicted():
-    parts = kept.KeptParts()
+    parts = cache_directory.KeptParts()
     _record(parts, _A, "one")
-    assert parts.leading_tokens(_job("one"), kept.LIFE_S - 1.0)
-    assert not parts.leading_tokens(_job("one"), kept.LIFE_S + 1.0)
+    assert parts.leading_tokens(_job("one"), cache_directory.LIFE_S - 1.0)
+    assert not parts.leading_tokens(_job("one"), cache_directory.LIFE_S + 1.0)
 
 
 def test_crashed_engine_holds_no_parts():
     # It restarts under the same id with an empty cache. Requests sent there for
     # their cached prefix would all need a prefill.
-    parts = kept.KeptParts()
+    parts = cache_directory.KeptParts()
     _record(parts, _A, "one")
     _record(parts, _B, "one")
     parts.drop(_A)
@@ -55,8 +55,8 @@
 
 
 def test_parts_are_announced_to_other_instances():
-    one, other = kept.KeptParts(), kept.KeptParts()
-    key = kept.part_key("one")
+    one, other = cache_directory.KeptParts(), cache_directory.KeptParts()
+    key = cache_directory.part_key("one")
     one.note(key, _A, 5.0)
     one.tell(key, _A, 5.0)
     other.hear(one.take_news(5.5), 105.0)
@@ -66,37 +66,39 @@
 def test_part_in_continuous_use_is_announced_once():
     # Every instance uses a popular prefix many times a second. Announcing each
     # use would fill the links between regions with redundant messages.
-    one = kept.KeptParts()
-    key = kept.part_key("one")
+    one = cache_directory.KeptParts()
+    key = cache_directory.part_key("one")
     announced = 0
     for step in range(100):
         one.tell(key, _A, 0.05 * step)
         announced += len(one.take_news(0.05 * step))
     assert announced == 1
-    one.tell(key, _A, kept.RETELL_S + 0.1)
-    assert one.take_news(kept.RETELL_S + 0.1)
+    one.tell(key, _A, cache_directory.RETELL_S + 0.1)
+    assert one.take_news(cache_directory.RETELL_S + 0.1)
 
 
 def test_received_part_is_not_forwarded():
     # It would circulate between the instances forever.
-    one = kept.KeptParts()
-    key = kept.part_key("one")
+    one = cache_directory.KeptParts()
+    key = cache_directory.part_key("one")
     one.hear([messages.KeptNews(_A, (key,), 0.0)], 1.0)
     one.tell(key, _A, 2.0)
     assert not one.take_news(2.0)
 
 
 def test_stored_and_announced_parts_are_bounded():
-    parts = kept.KeptParts()
-    for step in range(2 * kept.PARTS):
+    parts = cache_directory.KeptParts()
+    for step in range(2 * cache_directory.PARTS):
         parts.note(step, _A, float(step))
         parts.tell(step, _A, float(step))
-    now_s = 2.0 * kept.PARTS
+    now_s = 2.0 * cache_directory.PARTS
     (news,) = parts.take_news(now_s)
-    assert len(news.parts) == kept.NEWS
-    known = [key for key in range(2 * kept.PARTS) if parts.used_s(key, _A)]
-    assert len(known) == kept.PARTS
+    assert len(news.parts) == cache_directory.NEWS
+    known = [
+        key for key in range(2 * cache_directory.PARTS) if parts.used_s(key, _A)
+    ]
+    assert len(known) == cache_directory.PARTS
     for step in range(20):
         parts.note(1, ids.EndpointId(f"engine-{step}"), now_s)
     used = [parts.used_s(1, ids.EndpointId(f"engine-{n}")) for n in range(20)]
-    assert sum(used_s is not None for used_s in used) == kept.HOLDERS
+    assert sum(used_s is not None for used_s in used) == cache_directory.HOLDERS
--- a/cardamombarrow/decisions/tests/test_first_event.py
+++ b/cardamombarrow/decisions/tests/test_first_event.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from cardamombarrow.decisions import cache_directory
 from cardamombarrow.decisions import context as context_module
 from cardamombarrow.decisions import core
 from cardamombarrow.decisions import first_event
-from cardamombarrow.decisions import kept
 from cardamombarrow.decisions import messages
 from cardamombarrow.document import routed
 from cardamombarrow.document import schema
@@ -245,7 +245,7 @@
     )
     engine = simulation.placed["letter"][0]
     parts = simulation.choice._caches.parts
-    assert not parts.holds(kept.part_key("shared"), engine, 0.02)
+    assert not parts.holds(cache_directory.part_key("shared"), engine, 0.02)
 
 
 def test_long_prompts_and_short_requests_use_separate_engines():
--- a/cardamombarrow/decisions/tests/test_others_load.py
+++ b/cardamombarrow/decisions/tests/test_others_load.py
@@ -10,7 +10,7 @@
 from cardamombarrow.decisions import context as context_module
 from cardamombarrow.decisions import core
 from cardamombarrow.decisions import endpoint as endpoint_module
-from cardamombarrow.decisions import lanes
+from cardamombarrow.decisions import length_partition
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
@@ -144,7 +144,7 @@
     # Every engine but one is full of digests. Preempting one of them wastes its
     # prefill; the free slot costs nothing.
     endpoints = [(driver.DOMAIN, each) for each in many_entries.ENDPOINTS]
-    free = min(lanes.quiet_endpoints(endpoints))
+    free = min(length_partition.quiet_endpoints(endpoints))
     digests = messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
     loads = dict.fromkeys(many_entries.ENDPOINTS, digests)
     loads[free] = messages.OthersLoad((2,) * 11, 1, 3_000.0, 0.0)
