--- a/cardamombarrow/decisions/choice.py
+++ b/cardamombarrow/decisions/choice.py
@@ -69,7 +69,7 @@
     updated_at_s: float
 
 
-class FinishChoice(cost_choice.WeighedChoice):
+class FinishChoice(cost_choice.LowestCostChoice):
     """Lowest expected finish among the candidates that a subclass compares."""
 
     def __init__(self, context: context_module.PolicyContext):
@@ -78,11 +78,11 @@
         self._means: dict[ids.ServiceId, _Speed] = {}
         self._prefixes = prefixes.SharedPrefixes()
 
-    def _chosen(
+    def _record_choice(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
-        is_home: bool,
+        has_affinity: bool,
         now_s: float,
     ) -> None:
         """Records that a prefix was seen."""
@@ -95,7 +95,7 @@
         job: messages.Job,
         state: endpoint_module.EndpointState,
         now_s: float,
-        prefix_there: bool = False,
+        is_prefix_cached: bool = False,
     ) -> float:
         """Returns the expected time from now to the job's last token.
 
@@ -103,7 +103,7 @@
         """
         speed = self._decayed(state, now_s)
         saved_s = 0.0
-        if prefix_there:
+        if is_prefix_cached:
             saved_tokens = PREFIX_SAVING_SHARE * job.prompt_tokens
             saved_s = speed.prompt_token_s * saved_tokens
         work_tokens = job.prompt_tokens + FIXED_PROMPT_TOKENS
@@ -214,7 +214,7 @@
 
     # -- prefixes ------------------------------------------------------------
 
-    def _home(
+    def _affinity_endpoint(
         self,
         job: messages.Job,
         candidates: list[endpoint_module.EndpointState],
@@ -226,7 +226,7 @@
         """
         if not self._prefixes.shared(job.prefix_key, now_s):
             return None
-        return cost_choice.home_among(job.prefix_key, candidates)
+        return cost_choice.affinity_endpoint(job.prefix_key, candidates)
 
 
 def _move_towards(
@@ -240,7 +240,7 @@
 class TwoCandidatesChoice(FinishChoice):
     """Lowest expected finish among two candidates drawn at random."""
 
-    def _weighed(
+    def _compared_candidates(
         self, candidates: list[endpoint_module.EndpointState]
     ) -> list[endpoint_module.EndpointState]:
         if len(candidates) <= 2:
@@ -252,7 +252,7 @@
 class LeastFinishChoice(FinishChoice):
     """Lowest expected finish among all candidates."""
 
-    def _weighed(
+    def _compared_candidates(
         self, candidates: list[endpoint_module.EndpointState]
     ) -> list[endpoint_module.EndpointState]:
         return candidates
--- a/cardamombarrow/decisions/cost_choice.py
+++ b/cardamombarrow/decisions/cost_choice.py
@@ -16,10 +16,10 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
-__all__ = ["WeighedChoice", "home_among"]
+__all__ = ["LowestCostChoice", "affinity_endpoint"]
 
 
-class WeighedChoice(base.Choice):
+class LowestCostChoice(base.Choice):
     """Lowest cost among the candidates that a subclass compares."""
 
     def __init__(self, context: context_module.PolicyContext):
@@ -27,13 +27,13 @@
         self._failures = failures.Failures()
 
     @abc.abstractmethod
-    def _weighed(
+    def _compared_candidates(
         self, candidates: list[endpoint_module.EndpointState]
     ) -> list[endpoint_module.EndpointState]:
         """Returns the candidates whose cost is computed."""
 
     @abc.abstractmethod
-    def _home(
+    def _affinity_endpoint(
         self,
         job: messages.Job,
         candidates: list[endpoint_module.EndpointState],
@@ -47,15 +47,15 @@
         job: messages.Job,
         state: endpoint_module.EndpointState,
         now_s: float,
-        prefix_there: bool = False,
+        is_prefix_cached: bool = False,
     ) -> float:
         """Returns the cost of placing a job at an endpoint, as a time."""
 
-    def _chosen(
+    def _record_choice(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
-        is_home: bool,
+        has_affinity: bool,
         now_s: float,
     ) -> None:
         """Records the chosen endpoint, before the job is placed."""
@@ -83,12 +83,12 @@
         now_s: float,
     ) -> tuple[endpoint_module.EndpointState, str]:
         """Returns the candidate with the lowest cost."""
-        affinity = self._home(job, candidates, now_s)
+        affinity = self._affinity_endpoint(job, candidates, now_s)
         probe = self._probe(candidates, now_s)
         if probe is not None:
-            self._chosen(job, probe, probe is affinity, now_s)
+            self._record_choice(job, probe, probe is affinity, now_s)
             return probe, "probe after failures"
-        compared = self._weighed(candidates)
+        compared = self._compared_candidates(candidates)
         if affinity is not None:
             compared = [affinity, *compared]
         cost_s, _, chosen = min(
@@ -99,7 +99,7 @@
             )
             for position, state in enumerate(compared)
         )
-        self._chosen(job, chosen, chosen is affinity, now_s)
+        self._record_choice(job, chosen, chosen is affinity, now_s)
         prefix = ", prefix affinity" if chosen is affinity else ""
         return chosen, f"least cost {cost_s:.3f} s{prefix}"
 
@@ -141,7 +141,7 @@
             self._failures.succeeded(state.endpoint, now_s)
 
 
-def home_among(
+def affinity_endpoint(
     prefix_key: str, candidates: list[endpoint_module.EndpointState]
 ) -> endpoint_module.EndpointState:
     """Returns the affinity endpoint of a prefix among at least one candidate.
--- a/cardamombarrow/decisions/engine_caches.py
+++ b/cardamombarrow/decisions/engine_caches.py
@@ -48,11 +48,11 @@
         }
 
     def unread_tokens(
-        self, job: messages.Job, endpoint: ids.EndpointId, is_home: bool
+        self, job: messages.Job, endpoint: ids.EndpointId, has_affinity: bool
     ) -> float:
         """Returns the prompt tokens that are not in an engine's cache."""
         own_tokens = float(self._cached_tokens.get(endpoint, 0))
-        if is_home:
+        if has_affinity:
             reported = max(self._cached_tokens.values(), default=0)
             unreported = max(_shared_tokens(job) - reported, 0)
             own_tokens += UNREPORTED_CACHED_SHARE * unreported
--- a/cardamombarrow/decisions/engine_latency.py
+++ b/cardamombarrow/decisions/engine_latency.py
@@ -6,7 +6,7 @@
 
 import dataclasses
 
-__all__ = ["EngineView"]
+__all__ = ["EngineLatency"]
 
 CONGESTION_HALF_LIFE_S = 1.0
 """Half-life of the observed congestion."""
@@ -28,63 +28,63 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EngineView:
+class EngineLatency:
     """Latency estimates for one endpoint.
 
     Attributes:
-        guess_s: Initial base latency.
-        fixed_s: Base latency: time to first token on an idle endpoint, when
-            last updated; see `fixed_at`.
-        fixed_at_s: When the base latency was last updated.
+        initial_s: Initial base latency.
+        base_s: Base latency: time to first token on an idle endpoint, when
+            last updated; see `base_at`.
+        base_updated_at_s: When the base latency was last updated.
         congestion_s: Delay of first tokens over the expected time, when last
             updated; see `congestion_at`.
-        congested_at_s: When the congestion was last updated.
+        congestion_updated_at_s: When the congestion was last updated.
     """
 
-    guess_s: float
-    fixed_s: float = dataclasses.field(init=False)
-    fixed_at_s: float = 0.0
+    initial_s: float
+    base_s: float = dataclasses.field(init=False)
+    base_updated_at_s: float = 0.0
     congestion_s: float = 0.0
-    congested_at_s: float = 0.0
+    congestion_updated_at_s: float = 0.0
 
     def __post_init__(self) -> None:
-        self.fixed_s = self.guess_s
+        self.base_s = self.initial_s
 
     def congestion_at(self, now_s: float) -> float:
         """Returns the decayed congestion."""
-        elapsed_s = max(now_s - self.congested_at_s, 0.0)
+        elapsed_s = max(now_s - self.congestion_updated_at_s, 0.0)
         return self.congestion_s * 0.5 ** (elapsed_s / CONGESTION_HALF_LIFE_S)
 
-    def late(self, late_s: float, now_s: float) -> None:
+    def learn_delay(self, late_s: float, now_s: float) -> None:
         """Updates the congestion with the delay of one first token."""
         current_s = self.congestion_at(now_s)
         self.congestion_s = current_s + CONGESTION_WEIGHT * (late_s - current_s)
-        self.congested_at_s = now_s
+        self.congestion_updated_at_s = now_s
 
-    def fixed_at(self, now_s: float) -> float:
+    def base_at(self, now_s: float) -> float:
         """Returns the base latency, which decays to its initial value."""
-        elapsed_s = max(now_s - self.fixed_at_s, 0.0)
+        elapsed_s = max(now_s - self.base_updated_at_s, 0.0)
         remaining_share = 0.5 ** (elapsed_s / BASE_HALF_LIFE_S)
-        return self.guess_s + remaining_share * (self.fixed_s - self.guess_s)
+        return self.initial_s + remaining_share * (self.base_s - self.initial_s)
 
-    def learn_fixed(self, observed_s: float, now_s: float) -> None:
+    def learn_base(self, observed_s: float, now_s: float) -> None:
         """Updates the base latency with a first token that had no queue."""
-        current_s = self.fixed_at(now_s)
-        self.fixed_s = current_s + BASE_WEIGHT * (observed_s - current_s)
-        self.fixed_at_s = now_s
+        current_s = self.base_at(now_s)
+        self.base_s = current_s + BASE_WEIGHT * (observed_s - current_s)
+        self.base_updated_at_s = now_s
 
-    def learn_typical(self, observed_s: float, now_s: float) -> None:
+    def learn_response(self, observed_s: float, now_s: float) -> None:
         """Updates the base latency with the time of a call without streaming.
 
         Steps of one size converge to the median. The work of single calls
         varies severalfold, and one of them could double a mean and divert the
         next calls.
         """
-        current_s = max(self.fixed_at(now_s), MEDIAN_MIN_S)
+        current_s = max(self.base_at(now_s), MEDIAN_MIN_S)
         step = (
             MEDIAN_STEP_FACTOR
             if observed_s > current_s
             else 1.0 / MEDIAN_STEP_FACTOR
         )
-        self.fixed_s = current_s * step
-        self.fixed_at_s = now_s
+        self.base_s = current_s * step
+        self.base_updated_at_s = now_s
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -60,7 +60,7 @@
 """Initial base latency in another domain: connection setup, request and first
 token at 30 ms each way."""
 
-ENGINES_KEPT = 1_024
+MAX_ENGINES = 1_024
 """Endpoints tracked; slightly more than the target size has."""
 
 LONG_PREFILL_SHARE = 0.5
@@ -79,19 +79,19 @@
     """Limits that depend on whether all requests of an endpoint are known.
 
     Attributes:
-        long_unread: A long prompt goes to an endpoint only while fewer known
-            prompts than this wait for their first token there.
+        max_queued_for_long: A long prompt goes to an endpoint only while fewer
+            known prompts than this wait for their first token there.
         max_queued_for_short: The same for a short prompt.
         long_prompt_penalty_share: Penalty for a long prompt on an endpoint of
             the short-request partition, as a share of its target.
     """
 
-    long_unread: int
+    max_queued_for_long: int
     max_queued_for_short: int
     long_prompt_penalty_share: float
 
 
-OWN_BOUNDS = _QueueLimits(3, 4, 0.6)
+OWN_QUEUE_LIMITS = _QueueLimits(3, 4, 0.6)
 """For an instance that knows only its own requests; other instances send as
 many."""
 
@@ -120,15 +120,15 @@
 
 
 @registry.plugin("choice", "first-event")
-class FirstEventChoice(cost_choice.WeighedChoice):
+class FirstEventChoice(cost_choice.LowestCostChoice):
     """Lowest expected time to first token among all candidates."""
 
     displaces = True
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
-        self._engines: dict[ids.EndpointId, engine_latency.EngineView] = {}
-        self._prefill_time = prefill_time.ReadingPace()
+        self._latencies: dict[ids.EndpointId, engine_latency.EngineLatency] = {}
+        self._prefill_time = prefill_time.PrefillTime()
         self._expected_s: dict[ids.RequestId, float] = {}
         self._caches = engine_caches.Caches()
         self._fetch: messages.Fetch | None = None
@@ -141,15 +141,15 @@
         )
         self._shortest_pause_s = _shortest_pause_s(context.document)
         self._queue_limits = (
-            DOMAIN_QUEUE_LIMITS if context.whole_domain else OWN_BOUNDS
+            DOMAIN_QUEUE_LIMITS if context.whole_domain else OWN_QUEUE_LIMITS
         )
 
-    def _weighed(
+    def _compared_candidates(
         self, candidates: list[endpoint_module.EndpointState]
     ) -> list[endpoint_module.EndpointState]:
         return candidates
 
-    def _home(
+    def _affinity_endpoint(
         self,
         job: messages.Job,
         candidates: list[endpoint_module.EndpointState],
@@ -159,7 +159,7 @@
         if not job.prefix_key:
             return None
         candidates = partition or candidates
-        return cost_choice.home_among(job.prefix_key, candidates)
+        return cost_choice.affinity_endpoint(job.prefix_key, candidates)
 
     def _partition(
         self,
@@ -169,8 +169,10 @@
         """Returns the candidates in the partition of the job."""
         if not job.prompt_tokens:
             return candidates
-        self._short_request_endpoints = length_partition.quiet_endpoints(
-            (state.domain, state.endpoint) for state in candidates
+        self._short_request_endpoints = (
+            length_partition.short_request_endpoints(
+                (state.domain, state.endpoint) for state in candidates
+            )
         )
         is_long = self._is_long(job)
         return [
@@ -202,7 +204,9 @@
         now_s: float,
     ) -> None:
         """Looks up the affinity endpoint and the cached parts of a job."""
-        affinity = self._home(job, states, now_s) if states else None
+        affinity = (
+            self._affinity_endpoint(job, states, now_s) if states else None
+        )
         self._considered_affinity = (
             job.request_id,
             affinity and affinity.endpoint,
@@ -234,7 +238,7 @@
         unread = state.unread
         if not self._is_long(job):
             return unread < self._queue_limits.max_queued_for_short
-        if unread >= self._queue_limits.long_unread:
+        if unread >= self._queue_limits.max_queued_for_long:
             return False
         return self._is_affinity_wait_over(job, state, now_s)
 
@@ -256,19 +260,19 @@
         super().configure(document)
         self._shortest_pause_s = _shortest_pause_s(document)
 
-    def _chosen(
+    def _record_choice(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
-        is_home: bool,
+        has_affinity: bool,
         now_s: float,
     ) -> None:
         """Records the expected first token time and the tokens to prefill."""
         self._expected_s[job.request_id] = self._first_token_s(
-            job, state, now_s, is_home
+            job, state, now_s, has_affinity
         )
         self._fetch = self._find_fetch(job, state, now_s)
-        unread = self._caches.unread_tokens(job, state.endpoint, is_home)
+        unread = self._caches.unread_tokens(job, state.endpoint, has_affinity)
         fetched = self._fetch.tokens if self._fetch else 0
         job.unread_tokens = max(unread - fetched, 0.0)
         self._caches.sent(job, state.endpoint, now_s)
@@ -284,9 +288,9 @@
         That instance has already set the job's uncached tokens.
         """
         token_s = self._prefill_time.token_s(state.service)
-        fixed_s = self._engine(state).fixed_at(now_s)
+        base_s = self._latency(state).base_at(now_s)
         self._expected_s[job.request_id] = (
-            fixed_s
+            base_s
             + self._backlog_s(job, state, token_s, now_s)
             + job.unread_tokens * token_s
         )
@@ -332,14 +336,14 @@
         job: messages.Job,
         state: endpoint_module.EndpointState,
         now_s: float,
-        prefix_there: bool = False,
+        is_prefix_cached: bool = False,
     ) -> float:
         """Returns the expected time to first token plus penalties.
 
         Failures of the endpoint multiply the cost; see `failures`.
         """
         failing = self._failures.slowdown(state.endpoint, now_s)
-        first_token_s = self._first_token_s(job, state, now_s, prefix_there)
+        first_token_s = self._first_token_s(job, state, now_s, is_prefix_cached)
         penalty_s = self._partition_penalty_s(
             job, state
         ) + self._preemption_penalty_s(state)
@@ -364,20 +368,22 @@
         job: messages.Job,
         state: endpoint_module.EndpointState,
         now_s: float,
-        prefix_there: bool,
+        is_prefix_cached: bool,
     ) -> float:
-        engine = self._engine(state)
+        latency = self._latency(state)
         token_s = self._prefill_time.token_s(state.service)
-        unread = self._caches.unread_tokens(job, state.endpoint, prefix_there)
+        unread = self._caches.unread_tokens(
+            job, state.endpoint, is_prefix_cached
+        )
         waiting = max(state.in_flight - state.configured_slots + 1, 0)
-        fixed_s = engine.fixed_at(now_s)
+        base_s = latency.base_at(now_s)
         return (
-            fixed_s
+            base_s
             + self._backlog_s(job, state, token_s, now_s)
-            + engine.congestion_at(now_s)
+            + latency.congestion_at(now_s)
             + unread * token_s
             + PER_REQUEST_S * state.in_flight
-            + waiting * fixed_s / max(state.configured_slots, 1)
+            + waiting * base_s / max(state.configured_slots, 1)
         )
 
     def _backlog_s(
@@ -411,20 +417,20 @@
         peer_prefill_s = state.others_reading_s(token_s, now_s)
         return own_prefill_s + peer_prefill_s + max(overdue_s, default=0.0)
 
-    def _engine(
+    def _latency(
         self, state: endpoint_module.EndpointState
-    ) -> engine_latency.EngineView:
-        engine = self._engines.get(state.endpoint)
-        if engine is None:
+    ) -> engine_latency.EngineLatency:
+        latency = self._latencies.get(state.endpoint)
+        if latency is None:
             is_local = state.domain == self.context.domain
-            engine = engine_latency.EngineView(
+            latency = engine_latency.EngineLatency(
                 LOCAL_BASE_S if is_local else REMOTE_BASE_S
             )
-            self._engines[state.endpoint] = engine
-            if len(self._engines) > ENGINES_KEPT:
+            self._latencies[state.endpoint] = latency
+            if len(self._latencies) > MAX_ENGINES:
                 # A restarted endpoint gets a new id.
-                del self._engines[next(iter(self._engines))]
-        return engine
+                del self._latencies[next(iter(self._latencies))]
+        return latency
 
     # -- learning ------------------------------------------------------------
 
@@ -436,23 +442,23 @@
     ) -> None:
         """Updates base latency, prefill time and congestion."""
         super().on_first_token(state, running, now_s)
-        engine = self._engine(state)
+        latency = self._latency(state)
         took_s = now_s - running.placed_s
         self._caches.read(running.job, state.endpoint, now_s)
         if not running.job.streams:
-            engine.learn_typical(took_s, now_s)
+            latency.learn_response(took_s, now_s)
             return
         expected_s = self._expected_s.get(running.job.request_id, took_s)
-        engine.late(max(took_s - expected_s, 0.0), now_s)
+        latency.learn_delay(max(took_s - expected_s, 0.0), now_s)
         unread = running.job.unread_tokens
-        if unread >= prefill_time.LEAST_TOKENS:
-            prefill_s = took_s - engine.fixed_s
+        if unread >= prefill_time.MIN_PROMPT_TOKENS:
+            prefill_s = took_s - latency.base_s
             self._prefill_time.learn(state.service, prefill_s / unread)
             return
         prefill_s = unread * self._prefill_time.token_s(state.service)
-        fixed_s = max(took_s - prefill_s, 0.001)
-        if fixed_s < engine.fixed_s:
-            engine.learn_fixed(fixed_s, now_s)
+        base_s = max(took_s - prefill_s, 0.001)
+        if base_s < latency.base_s:
+            latency.learn_base(base_s, now_s)
 
     def on_finish(
         self,
--- a/cardamombarrow/decisions/length_partition.py
+++ b/cardamombarrow/decisions/length_partition.py
@@ -14,8 +14,8 @@
 weighs the cost of leaving it against the cost of waiting.
 
 Short requests cause a small share of the prefill, but an answer holds its slot
-for longer than the prefill of its prompt takes, so `QUIET_SHARE` is greater
-than that share.
+for longer than the prefill of its prompt takes, so `SHORT_REQUEST_SHARE` is
+greater than that share.
 """
 
 from collections import abc
@@ -24,14 +24,14 @@
 
 from cardamombarrow.kernel import ids
 
-__all__ = ["QUIET_SHARE", "quiet_endpoints"]
+__all__ = ["SHORT_REQUEST_SHARE", "short_request_endpoints"]
 
-QUIET_SHARE = 0.35
+SHORT_REQUEST_SHARE = 0.35
 
 _DomainEndpoints = tuple[tuple[ids.DomainId, ids.EndpointId], ...]
 
 
-def quiet_endpoints(
+def short_request_endpoints(
     endpoints: abc.Iterable[tuple[ids.DomainId, ids.EndpointId]],
 ) -> frozenset[ids.EndpointId]:
     """Returns the endpoints of the short-request partition.
@@ -46,7 +46,9 @@
 def _compute(endpoints: _DomainEndpoints) -> frozenset[ids.EndpointId]:
     if len(endpoints) < 2:
         return frozenset()
-    count = min(max(round(QUIET_SHARE * len(endpoints)), 1), len(endpoints) - 1)
+    count = min(
+        max(round(SHORT_REQUEST_SHARE * len(endpoints)), 1), len(endpoints) - 1
+    )
     by_domain: dict[ids.DomainId, list[ids.EndpointId]] = {}
     for domain, endpoint in endpoints:
         by_domain.setdefault(domain, []).append(endpoint)
--- a/cardamombarrow/decisions/prefill_time.py
+++ b/cardamombarrow/decisions/prefill_time.py
@@ -1,18 +1,18 @@
 """Prefill time per token of a service's engines, learned from first tokens.
 
 Steps of `STEP_FACTOR` follow a change within some tens of prompts. From
-`LEAST_TOKENS` on, the prefill and not the base latency dominates the time to
-first token.
+`MIN_PROMPT_TOKENS` on, the prefill and not the base latency dominates the time
+to first token.
 """
 
 from cardamombarrow.kernel import ids
 
-__all__ = ["LEAST_TOKENS", "ReadingPace"]
+__all__ = ["MIN_PROMPT_TOKENS", "PrefillTime"]
 
 INITIAL_TOKEN_S = 0.00002
 """Initial prefill time per token."""
 
-LEAST_TOKENS = 4_000
+MIN_PROMPT_TOKENS = 4_000
 """Prompts from this length on update the prefill time; shorter ones update the
 base latency."""
 
@@ -22,7 +22,7 @@
 MAX_TOKEN_S = 1e-3
 
 
-class ReadingPace:
+class PrefillTime:
     """Prefill time per token, by service."""
 
     def __init__(self, quantile: float = 0.5):
--- a/cardamombarrow/decisions/tests/test_first_event.py
+++ b/cardamombarrow/decisions/tests/test_first_event.py
@@ -232,7 +232,7 @@
     if avoided:
         assert simulation.placed["chat"][-1] != best
     else:
-        engine = simulation.choice._engines[best]
+        engine = simulation.choice._latencies[best]
         assert engine.congestion_at(2.5 + after_s) < 0.001
 
 
@@ -279,7 +279,7 @@
 def test_prompt_waits_for_its_affinity_endpoint():
     # Any engine but the affinity endpoint would prefill the prefix again.
     simulation = _Simulation()
-    limit = first_event.OWN_BOUNDS.long_unread
+    limit = first_event.OWN_QUEUE_LIMITS.max_queued_for_long
     for _ in range(limit + 1):
         simulation.send(0.0, "letter", [("shared", 13_300)], 1_000)
     assert len(simulation.placed["letter"]) == limit
@@ -291,12 +291,12 @@
 def test_state_of_removed_endpoints_is_bounded(monkeypatch):
     # A restarted endpoint gets a new id, so the state of old endpoints would
     # accumulate over months of releases.
-    monkeypatch.setattr(first_event, "ENGINES_KEPT", 3)
+    monkeypatch.setattr(first_event, "MAX_ENGINES", 3)
     simulation = _Simulation()
     for step in range(40):
         simulation.send(0.02 * step, "letter", [], 20_000)
     simulation.advance(5.0)
-    assert len(simulation.choice._engines) <= 3
+    assert len(simulation.choice._latencies) <= 3
 
 
 def _shared_prefix_bursts(simulation):
--- a/cardamombarrow/decisions/tests/test_others_load.py
+++ b/cardamombarrow/decisions/tests/test_others_load.py
@@ -144,7 +144,7 @@
     # Every engine but one is full of digests. Preempting one of them wastes its
     # prefill; the free slot costs nothing.
     endpoints = [(driver.DOMAIN, each) for each in many_entries.ENDPOINTS]
-    free = min(length_partition.quiet_endpoints(endpoints))
+    free = min(length_partition.short_request_endpoints(endpoints))
     digests = messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
     loads = dict.fromkeys(many_entries.ENDPOINTS, digests)
     loads[free] = messages.OthersLoad((2,) * 11, 1, 3_000.0, 0.0)
--- a/cardamombarrow/metering/meter.py
+++ b/cardamombarrow/metering/meter.py
@@ -67,7 +67,7 @@
         self._change = 0
         self._windows: dict[int, dict[ids.WorkspaceId, tuple[int, int]]] = {}
         self._confirmed: tuple[str, int, int] = "", 0, 0
-        self._pace = prefill_time.ReadingPace(IDLE_QUANTILE)
+        self._pace = prefill_time.PrefillTime(IDLE_QUANTILE)
         self._reading_s: collections.Counter[ids.ServiceId] = (
             collections.Counter()
         )
@@ -134,7 +134,7 @@
             after_s: Time from sending it to the first event.
         """
         with self._lock:
-            if tokens >= prefill_time.LEAST_TOKENS:
+            if tokens >= prefill_time.MIN_PROMPT_TOKENS:
                 self._pace.learn(service, after_s / tokens)
             self._reading_s[service] += tokens * self._pace.token_s(service)
 
