--- a/cardamombarrow/decisions/cache_directory.py
+++ b/cardamombarrow/decisions/cache_directory.py
@@ -14,9 +14,9 @@
 but costs calls per engine, domain and second; announcements grow only with the
 number of new locations.
 
-`LIFE_S` is about the time in which an engine's cache is replaced once.
-`HOLDERS` leaves a choice of sources when one is lost. `NEWS` bounds a message
-to 2 KB.
+`ENTRY_LIFETIME_S` is about the time in which an engine's cache is replaced
+once. `MAX_HOLDERS` leaves a choice of sources when one is lost.
+`MAX_ANNOUNCED_PARTS` bounds a message to 2 KB.
 """
 
 import collections
@@ -29,19 +29,19 @@
 
 __all__ = ["KeptParts", "part_key"]
 
-LIFE_S = 60.0
+ENTRY_LIFETIME_S = 60.0
 """A part not used for this long counts as evicted."""
 
-PARTS = 8_192
+MAX_PARTS = 8_192
 """Most parts stored; the least recently used are removed first."""
 
-HOLDERS = 6
+MAX_HOLDERS = 6
 """Most engines per part; the least recently used are removed first."""
 
-NEWS = 400
+MAX_ANNOUNCED_PARTS = 400
 """Most parts announced to the other instances in one message."""
 
-RETELL_S = 10.0
+REANNOUNCE_S = 10.0
 """Time after which a part that is still in use is announced again."""
 
 
@@ -65,27 +65,29 @@
         self._announced_at_s: dict[tuple[int, ids.EndpointId], float] = {}
         self._pending: dict[tuple[int, ids.EndpointId], float] = {}
 
-    def note(self, key: int, endpoint: ids.EndpointId, now_s: float) -> None:
+    def record(self, key: int, endpoint: ids.EndpointId, now_s: float) -> None:
         """Records that an engine prefills a part or has used it."""
         holders = self._holders.setdefault(key, {})
         self._holders.move_to_end(key)
         holders.pop(endpoint, None)
         holders[endpoint] = now_s
-        if len(holders) > HOLDERS:
+        if len(holders) > MAX_HOLDERS:
             del holders[next(iter(holders))]
-        if len(self._holders) > PARTS:
+        if len(self._holders) > MAX_PARTS:
             self._holders.popitem(last=False)
 
-    def tell(self, key: int, endpoint: ids.EndpointId, now_s: float) -> None:
+    def announce(
+        self, key: int, endpoint: ids.EndpointId, now_s: float
+    ) -> None:
         """Queues a prefilled part for announcement to other instances."""
         pair = key, endpoint
-        if now_s - self._announced_at_s.get(pair, float("-inf")) < RETELL_S:
+        if now_s - self._announced_at_s.get(pair, float("-inf")) < REANNOUNCE_S:
             return
         self._pending[pair] = now_s
-        if len(self._pending) > NEWS:
+        if len(self._pending) > MAX_ANNOUNCED_PARTS:
             del self._pending[next(iter(self._pending))]
 
-    def forget(self, key: int, endpoint: ids.EndpointId) -> None:
+    def remove(self, key: int, endpoint: ids.EndpointId) -> None:
         """Removes an engine from the holders of a part."""
         holders = self._holders.get(key)
         if holders is not None:
@@ -93,21 +95,23 @@
             if not holders:
                 del self._holders[key]
 
-    def drop(self, endpoint: ids.EndpointId) -> None:
+    def remove_engine(self, endpoint: ids.EndpointId) -> None:
         """Removes all parts of an engine, because it has restarted."""
         for key in list(self._holders):
-            self.forget(key, endpoint)
+            self.remove(key, endpoint)
 
-    def used_s(self, key: int, endpoint: ids.EndpointId) -> float | None:
+    def last_used_s(self, key: int, endpoint: ids.EndpointId) -> float | None:
         """Returns when an engine last used a part; None if it lacks it."""
         return self._holders.get(key, {}).get(endpoint)
 
     def holds(self, key: int, endpoint: ids.EndpointId, now_s: float) -> bool:
         """Returns whether a part is expected in an engine's cache."""
-        used_s = self.used_s(key, endpoint)
-        return used_s is not None and now_s - used_s <= LIFE_S
+        last_used_s = self.last_used_s(key, endpoint)
+        return (
+            last_used_s is not None and now_s - last_used_s <= ENTRY_LIFETIME_S
+        )
 
-    def leading_tokens(
+    def cached_prefix_tokens(
         self, job: messages.Job, now_s: float
     ) -> dict[ids.EndpointId, int]:
         """Returns the length of the cached prefix by engine, in tokens.
@@ -130,7 +134,7 @@
                 )
         return cached_tokens
 
-    def take_news(self, now_s: float) -> list[messages.KeptNews]:
+    def take_announcements(self, now_s: float) -> list[messages.KeptNews]:
         """Returns and clears the pending announcements, by engine."""
         news, self._pending = self._pending, {}
         by_endpoint: dict[ids.EndpointId, list[int]] = {}
@@ -143,19 +147,21 @@
         self._announced_at_s = {
             pair: announced_s
             for pair, announced_s in self._announced_at_s.items()
-            if now_s - announced_s < RETELL_S
+            if now_s - announced_s < REANNOUNCE_S
         }
         return [
             messages.KeptNews(endpoint, tuple(keys), now_s - oldest_s)
             for endpoint, keys in by_endpoint.items()
         ]
 
-    def hear(self, news: abc.Iterable[messages.KeptNews], now_s: float) -> None:
+    def merge_announcements(
+        self, news: abc.Iterable[messages.KeptNews], now_s: float
+    ) -> None:
         """Merges announcements from other instances."""
         for each in news:
             for key in each.parts:
-                used_s = self.used_s(key, each.endpoint)
+                last_used_s = self.last_used_s(key, each.endpoint)
                 seen_s = now_s - each.age_s
-                if used_s is None or used_s < seen_s:
-                    self.note(key, each.endpoint, seen_s)
+                if last_used_s is None or last_used_s < seen_s:
+                    self.record(key, each.endpoint, seen_s)
                 self._announced_at_s[key, each.endpoint] = now_s
--- a/cardamombarrow/decisions/choice.py
+++ b/cardamombarrow/decisions/choice.py
@@ -86,7 +86,7 @@
         now_s: float,
     ) -> None:
         """Records that a prefix was seen."""
-        self._prefixes.remember(job.prefix_key, now_s)
+        self._prefixes.record(job.prefix_key, now_s)
 
     # -- cost ----------------------------------------------------------------
 
@@ -224,7 +224,7 @@
 
         A prefix seen only once does not count as shared.
         """
-        if not self._prefixes.shared(job.prefix_key, now_s):
+        if not self._prefixes.is_shared(job.prefix_key, now_s):
             return None
         return cost_choice.affinity_endpoint(job.prefix_key, candidates)
 
--- a/cardamombarrow/decisions/endpoint.py
+++ b/cardamombarrow/decisions/endpoint.py
@@ -18,7 +18,7 @@
         running: This instance's requests on it.
         share: Its slots that this instance may use now.
         report: Its last load report, or None.
-        others: Load from other instances that place requests, by instance.
+        peer_loads: Load from other instances that place requests, by instance.
     """
 
     endpoint: ids.EndpointId
@@ -31,7 +31,7 @@
     )
     share: int = 0
     report: messages.LoadReport | None = None
-    others: dict[ids.InstanceId, messages.OthersLoad] = dataclasses.field(
+    peer_loads: dict[ids.InstanceId, messages.OthersLoad] = dataclasses.field(
         default_factory=dict
     )
 
@@ -58,7 +58,7 @@
         )
         return own + max(0, reported - included)
 
-    def held_against(self, rank: int) -> int:
+    def count_not_preemptible(self, rank: int) -> int:
         """Counts the requests on it that a request of a rank can't preempt.
 
         An endpoint whose slots are all taken preempts less urgent requests.
@@ -66,24 +66,24 @@
         own = sum(run.job.rank <= rank for run in self.running.values())
         reported = sum(
             other <= rank
-            for load in self.others.values()
+            for load in self.peer_loads.values()
             for other in load.ranks
         )
         return own + reported
 
     @property
-    def known_running(self) -> int:
+    def total_running(self) -> int:
         """Requests on it, with those that other instances reported."""
-        reported = sum(len(load.ranks) for load in self.others.values())
+        reported = sum(len(load.ranks) for load in self.peer_loads.values())
         return len(self.running) + reported
 
     @property
     def unread(self) -> int:
         """Requests on it without a first token, other instances' included."""
         own = sum(run.first_token_s is None for run in self.running.values())
-        return own + sum(load.unread for load in self.others.values())
+        return own + sum(load.unread for load in self.peer_loads.values())
 
-    def others_reading_s(self, token_s: float, now_s: float) -> float:
+    def peer_prefill_s(self, token_s: float, now_s: float) -> float:
         """Returns the remaining prefill time of other instances' prompts.
 
         Args:
@@ -92,7 +92,7 @@
         """
         remaining_s = (
             load.unread_tokens * token_s - (now_s - load.seen_at_s)
-            for load in self.others.values()
+            for load in self.peer_loads.values()
         )
         return sum(max(prefill_s, 0.0) for prefill_s in remaining_s)
 
--- a/cardamombarrow/decisions/engine_caches.py
+++ b/cardamombarrow/decisions/engine_caches.py
@@ -14,7 +14,7 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
-__all__ = ["UNREPORTED_CACHED_SHARE", "Caches"]
+__all__ = ["UNREPORTED_CACHED_SHARE", "EngineCaches"]
 
 UNREPORTED_CACHED_SHARE = 0.5
 """Share of a prefix without known holders that is assumed to be cached at its
@@ -24,11 +24,11 @@
 IsSound = abc.Callable[[ids.EndpointId], bool]
 
 
-class Caches:
+class EngineCaches:
     """State of the engines' caches with respect to the current job."""
 
     def __init__(self):
-        self.parts = cache_directory.KeptParts()
+        self.directory = cache_directory.KeptParts()
         self._cached_tokens: dict[ids.EndpointId, int] = {}
         self._domains: dict[ids.EndpointId, ids.DomainId] = {}
 
@@ -39,7 +39,7 @@
         now_s: float,
     ) -> None:
         """Sets the current job and its possible endpoints."""
-        cached_tokens = self.parts.leading_tokens(job, now_s)
+        cached_tokens = self.directory.cached_prefix_tokens(job, now_s)
         self._domains = {state.endpoint: state.domain for state in states}
         self._cached_tokens = {
             endpoint: tokens
@@ -47,7 +47,7 @@
             if endpoint in self._domains
         }
 
-    def unread_tokens(
+    def uncached_tokens(
         self, job: messages.Job, endpoint: ids.EndpointId, has_affinity: bool
     ) -> float:
         """Returns the prompt tokens that are not in an engine's cache."""
@@ -84,42 +84,42 @@
             # within the last second or two may not have been reported yet.
             holders[affinity] = _shared_tokens(job)
         sources = [
-            fetching.Source(
+            fetching.FetchSource(
                 tokens, self._domains.get(endpoint) == state.domain, endpoint
             )
             for endpoint, tokens in holders.items()
             if endpoint != state.endpoint and is_sound(endpoint)
         ]
         target_s = job.target_first_token_s
-        source = fetching.source_for(own_tokens, sources, target_s)
+        source = fetching.select_source(own_tokens, sources, target_s)
         if source is None:
             return None
         key = cache_directory.part_key(job.parts[0].part)
-        used_s = self.parts.used_s(key, source.endpoint)
+        last_used_s = self.directory.last_used_s(key, source.endpoint)
         return messages.Fetch(
             source.endpoint,
             source.tokens - own_tokens if cached_tokens else 0,
-            None if used_s is None else now_s - used_s,
+            None if last_used_s is None else now_s - last_used_s,
         )
 
-    def sent(
+    def record_sent(
         self, job: messages.Job, endpoint: ids.EndpointId, now_s: float
     ) -> None:
         """Records that a job's prompt is sent to an engine."""
         for key in _keys(job.parts):
-            self.parts.note(key, endpoint, now_s)
+            self.directory.record(key, endpoint, now_s)
 
-    def read(
+    def record_prefilled(
         self, job: messages.Job, endpoint: ids.EndpointId, now_s: float
     ) -> None:
         """Queues a prefilled prompt for announcement to other instances."""
         for key in _keys(job.parts[:-1]):
-            self.parts.tell(key, endpoint, now_s)
+            self.directory.announce(key, endpoint, now_s)
 
-    def not_read(self, job: messages.Job, endpoint: ids.EndpointId) -> None:
+    def remove_sent(self, job: messages.Job, endpoint: ids.EndpointId) -> None:
         """Drops the parts of a job that did not reach its engine."""
         for key in _keys(job.parts):
-            self.parts.forget(key, endpoint)
+            self.directory.remove(key, endpoint)
 
 
 def _shared_tokens(job: messages.Job) -> int:
--- a/cardamombarrow/decisions/fetching.py
+++ b/cardamombarrow/decisions/fetching.py
@@ -25,11 +25,11 @@
 from cardamombarrow.kernel import ids
 
 __all__ = [
-    "LEAST_TOKENS",
+    "MIN_FETCH_TOKENS",
     "WAIT_SHARE",
-    "Source",
+    "FetchSource",
     "fetch_token_s",
-    "source_for",
+    "select_source",
 ]
 
 LOCAL_START_S = 0.002
@@ -39,21 +39,21 @@
 WAIT_SHARE = 0.12
 """Share of its target that a request waits for a transfer to start."""
 
-LEAST_TOKENS = 256
+MIN_FETCH_TOKENS = 256
 """Shorter prefixes are prefilled."""
 
 
-class Source(typing.NamedTuple):
+class FetchSource(typing.NamedTuple):
     """An engine that holds a prefix of a prompt.
 
     Attributes:
         tokens: Length of the prefix that it holds.
-        is_near: Whether it is in the domain of the fetching engine.
+        is_local: Whether it is in the domain of the fetching engine.
         endpoint: The engine.
     """
 
     tokens: int
-    is_near: bool
+    is_local: bool
     endpoint: ids.EndpointId
 
 
@@ -69,9 +69,9 @@
     return bits / (1e6 * service.cache_link_mbit_per_s)
 
 
-def source_for(
-    own_tokens: int, sources: list[Source], target_s: float
-) -> Source | None:
+def select_source(
+    own_tokens: int, sources: list[FetchSource], target_s: float
+) -> FetchSource | None:
     """Returns the engine to fetch from; None to prefill instead.
 
     Args:
@@ -83,7 +83,7 @@
     if not sources:
         return None
     source = max(sources)
-    start_s = LOCAL_START_S if source.is_near else REMOTE_START_S
-    if source.tokens - own_tokens < LEAST_TOKENS:
+    start_s = LOCAL_START_S if source.is_local else REMOTE_START_S
+    if source.tokens - own_tokens < MIN_FETCH_TOKENS:
         return None
     return source if start_s <= WAIT_SHARE * target_s else None
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -130,7 +130,7 @@
         self._latencies: dict[ids.EndpointId, engine_latency.EngineLatency] = {}
         self._prefill_time = prefill_time.PrefillTime()
         self._expected_s: dict[ids.RequestId, float] = {}
-        self._caches = engine_caches.Caches()
+        self._caches = engine_caches.EngineCaches()
         self._fetch: messages.Fetch | None = None
         self._short_request_endpoints: frozenset[ids.EndpointId] = frozenset()
         self._considered_affinity: tuple[
@@ -272,10 +272,10 @@
             job, state, now_s, has_affinity
         )
         self._fetch = self._find_fetch(job, state, now_s)
-        unread = self._caches.unread_tokens(job, state.endpoint, has_affinity)
+        unread = self._caches.uncached_tokens(job, state.endpoint, has_affinity)
         fetched = self._fetch.tokens if self._fetch else 0
         job.unread_tokens = max(unread - fetched, 0.0)
-        self._caches.sent(job, state.endpoint, now_s)
+        self._caches.record_sent(job, state.endpoint, now_s)
 
     def placed_elsewhere(
         self,
@@ -294,7 +294,7 @@
             + self._backlog_s(job, state, token_s, now_s)
             + job.unread_tokens * token_s
         )
-        self._caches.sent(job, state.endpoint, now_s)
+        self._caches.record_sent(job, state.endpoint, now_s)
 
     def _find_fetch(
         self,
@@ -323,13 +323,13 @@
 
     def take_news(self, now_s: float) -> list[messages.KeptNews]:
         """Returns parts prefilled recently, for the other instances."""
-        return self._caches.parts.take_news(now_s)
+        return self._caches.directory.take_announcements(now_s)
 
     def hear(
         self, news: collections_abc.Iterable[messages.KeptNews], now_s: float
     ) -> None:
         """Merges parts that other instances report as cached."""
-        self._caches.parts.hear(news, now_s)
+        self._caches.directory.merge_announcements(news, now_s)
 
     def cost_s(
         self,
@@ -359,7 +359,7 @@
         prompt would be prefilled twice.
         """
         known = self.context.whole_domain and state.configured_slots
-        if known and state.known_running >= state.configured_slots:
+        if known and state.total_running >= state.configured_slots:
             return PREEMPTION_PENALTY_S
         return 0.0
 
@@ -372,7 +372,7 @@
     ) -> float:
         latency = self._latency(state)
         token_s = self._prefill_time.token_s(state.service)
-        unread = self._caches.unread_tokens(
+        unread = self._caches.uncached_tokens(
             job, state.endpoint, is_prefix_cached
         )
         waiting = max(state.in_flight - state.configured_slots + 1, 0)
@@ -414,8 +414,8 @@
         if not job.streams:
             overdue_s.remove(max(overdue_s))
         own_prefill_s = max(queued_s - (now_s - first_placed_s), 0.0)
-        peer_prefill_s = state.others_reading_s(token_s, now_s)
-        return own_prefill_s + peer_prefill_s + max(overdue_s, default=0.0)
+        reported_prefill_s = state.peer_prefill_s(token_s, now_s)
+        return own_prefill_s + reported_prefill_s + max(overdue_s, default=0.0)
 
     def _latency(
         self, state: endpoint_module.EndpointState
@@ -444,7 +444,7 @@
         super().on_first_token(state, running, now_s)
         latency = self._latency(state)
         took_s = now_s - running.placed_s
-        self._caches.read(running.job, state.endpoint, now_s)
+        self._caches.record_prefilled(running.job, state.endpoint, now_s)
         if not running.job.streams:
             latency.learn_response(took_s, now_s)
             return
@@ -471,6 +471,6 @@
         super().on_finish(state, running, outcome, now_s)
         self._expected_s.pop(running.job.request_id, None)
         if outcome is messages.Outcome.CRASHED:
-            self._caches.parts.drop(state.endpoint)
+            self._caches.directory.remove_engine(state.endpoint)
         elif running.first_token_s is None and outcome in failures.UNSEEN:
-            self._caches.not_read(running.job, state.endpoint)
+            self._caches.remove_sent(running.job, state.endpoint)
--- a/cardamombarrow/decisions/limits.py
+++ b/cardamombarrow/decisions/limits.py
@@ -234,8 +234,8 @@
         beginning was seen before are left out.
         """
         job = running.job
-        cached = self._prefixes.shared(job.prefix_key, running.placed_s)
-        self._prefixes.remember(job.prefix_key, running.placed_s)
+        cached = self._prefixes.is_shared(job.prefix_key, running.placed_s)
+        self._prefixes.record(job.prefix_key, running.placed_s)
         track = self._tracks.get(state.endpoint)
         if cached:
             return track
--- a/cardamombarrow/decisions/prefixes.py
+++ b/cardamombarrow/decisions/prefixes.py
@@ -20,12 +20,12 @@
     def __init__(self):
         self._seen_at_s: dict[str, float] = {}
 
-    def shared(self, prefix_key: str, now_s: float) -> bool:
+    def is_shared(self, prefix_key: str, now_s: float) -> bool:
         """Returns whether a prefix was seen recently."""
         seen_at_s = self._seen_at_s.get(prefix_key)
         return seen_at_s is not None and now_s - seen_at_s <= PREFIX_LIFETIME_S
 
-    def remember(self, prefix_key: str, now_s: float) -> None:
+    def record(self, prefix_key: str, now_s: float) -> None:
         """Records that a request with this prefix was sent."""
         if not prefix_key:
             return
--- a/cardamombarrow/decisions/roster.py
+++ b/cardamombarrow/decisions/roster.py
@@ -235,15 +235,15 @@
             if state is None:
                 continue
             if load.ranks:
-                state.others[instance] = load
+                state.peer_loads[instance] = load
             else:
-                state.others.pop(instance, None)
+                state.peer_loads.pop(instance, None)
             self.changed.add(state.service)
 
     def forget_others(self, instance: ids.InstanceId) -> None:
         """Drops what an instance had told that is heard of no longer."""
         for state in self.endpoints.values():
-            if state.others.pop(instance, None) is not None:
+            if state.peer_loads.pop(instance, None) is not None:
                 self.changed.add(state.service)
 
     def set_leaving(self, endpoint: ids.EndpointId, leaving: bool) -> None:
@@ -336,8 +336,8 @@
         """
         displaces = self._policies.choice.displaces and job.streams
         if self._context.whole_domain and displaces:
-            return state.held_against(job.rank)
-        return state.known_running
+            return state.count_not_preemptible(job.rank)
+        return state.total_running
 
 
 class Room(base.Room):
--- a/cardamombarrow/decisions/spill.py
+++ b/cardamombarrow/decisions/spill.py
@@ -19,7 +19,7 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import registry
 
-__all__ = ["BudgetSpill", "WeighedSpill"]
+__all__ = ["BudgetSpill", "UnrestrictedSpill"]
 
 BYTES_PER_S = 50_000.0
 BUCKET_BYTES = 3_000_000.0
@@ -77,7 +77,7 @@
 
 
 @registry.plugin("spill", "weighed")
-class WeighedSpill(base.Spill):
+class UnrestrictedSpill(base.Spill):
     """No restriction: the choice accounts for the distance."""
 
     joins_domains = True
--- a/cardamombarrow/decisions/tests/test_fetching.py
+++ b/cardamombarrow/decisions/tests/test_fetching.py
@@ -6,8 +6,8 @@
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
-_LOCAL = fetching.Source(10_000, True, ids.EndpointId("near"))
-_REMOTE = fetching.Source(10_000, False, ids.EndpointId("far"))
+_LOCAL = fetching.FetchSource(10_000, True, ids.EndpointId("near"))
+_REMOTE = fetching.FetchSource(10_000, False, ids.EndpointId("far"))
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
     ],
 )
 def test_source_of_a_fetch(kept_tokens, sources, target_s, expected):
-    assert fetching.source_for(kept_tokens, sources, target_s) == expected
+    assert fetching.select_source(kept_tokens, sources, target_s) == expected
 
 
 @pytest.mark.parametrize(
--- a/cardamombarrow/decisions/tests/test_first_event.py
+++ b/cardamombarrow/decisions/tests/test_first_event.py
@@ -244,8 +244,8 @@
         request_id, messages.Outcome.REFUSED_BY_ENDPOINT, 0.01
     )
     engine = simulation.placed["letter"][0]
-    parts = simulation.choice._caches.parts
-    assert not parts.holds(cache_directory.part_key("shared"), engine, 0.02)
+    directory = simulation.choice._caches.directory
+    assert not directory.holds(cache_directory.part_key("shared"), engine, 0.02)
 
 
 def test_long_prompts_and_short_requests_use_separate_engines():
--- a/cardamombarrow/decisions/tests/test_others_load.py
+++ b/cardamombarrow/decisions/tests/test_others_load.py
@@ -26,12 +26,12 @@
 
 def test_reported_prefill_decreases_with_time():
     state = _state()
-    state.others[_PEER] = messages.OthersLoad((0, 0), 2, 10_000.0, 100.0)
-    state.others[_OTHER_PEER] = messages.OthersLoad((0,), 1, 1_000.0, 100.0)
+    state.peer_loads[_PEER] = messages.OthersLoad((0, 0), 2, 10_000.0, 100.0)
+    state.peer_loads[_OTHER_PEER] = messages.OthersLoad((0,), 1, 1_000.0, 100.0)
     token_s = 0.0001
-    assert state.others_reading_s(token_s, 100.0) == pytest.approx(1.1)
-    assert state.others_reading_s(token_s, 100.5) == pytest.approx(0.5)
-    assert state.others_reading_s(token_s, 102.0) == 0.0
+    assert state.peer_prefill_s(token_s, 100.0) == pytest.approx(1.1)
+    assert state.peer_prefill_s(token_s, 100.5) == pytest.approx(0.5)
+    assert state.peer_prefill_s(token_s, 102.0) == 0.0
 
 
 @pytest.fixture(name="dispatcher")
