--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -110,7 +110,7 @@
                 ids.ServiceId(f"s{n}"): 5.0 for n in range(self._size.services)
             }
             instance = ids.InstanceId(f"i{number}")
-            self._dispatcher.peer(
+            self._dispatcher.update_peer(
                 messages.PeerDemand(instance, demand, {}, self._now_s)
             )
 
--- a/benchmarks/driver.py
+++ b/benchmarks/driver.py
@@ -355,7 +355,7 @@
         for entry in range(len(self._entries)):
             for other in self._entries:
                 if other is not self._entries[entry]:
-                    other.peer(self._entries[entry].demand(0.0))
+                    other.update_peer(self._entries[entry].demand(0.0))
 
     def _gossip(self, entry: int) -> None:
         scenario = self._scenario
@@ -363,7 +363,7 @@
             return
         demand = self._entries[entry].demand(self._now_s)
         marks = self._entries[entry].quarantine_marks(self._now_s)
-        news = self._entries[entry].kept_news(self._now_s)
+        news = self._entries[entry].take_cache_announcements(self._now_s)
         self._at(
             self._now_s + scenario.gossip_delay_s,
             lambda: self._heard(entry, demand, marks, news),
@@ -379,9 +379,9 @@
         demand = dataclasses.replace(demand, seen_at_s=self._now_s)
         for number, other in enumerate(self._entries):
             if number != entry:
-                other.peer(demand)
+                other.update_peer(demand)
                 other.merge_quarantine(marks, self._now_s)
-                other.hear_kept(news, self._now_s)
+                other.merge_cache_announcements(news, self._now_s)
 
     # -- summing up ----------------------------------------------------------
 
--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -137,7 +137,7 @@
             whole_domain=True,
         )
         decider = core.Dispatcher(context, 0.0)
-        decider.set_found(tuple(self._found()), 0.0)
+        decider.set_discovered(tuple(self._found()), 0.0)
         return decider
 
     def _at(self, when_s: float, event: abc.Callable[[], None]) -> None:
@@ -213,7 +213,7 @@
         endpoint = decision.endpoint
         if endpoint in self.counted and self._now_s >= STATED_FROM_S:
             stated = messages.RateLimit(self._load.limit_per_s, self._now_s)
-            decider.hear_rate_limit(endpoint, stated)
+            decider.update_rate_limit(endpoint, stated)
             self._knows_from_s.setdefault((number, endpoint), self._now_s)
 
     def _end(self, number: int, decision: messages.Placement) -> None:
@@ -230,7 +230,7 @@
         )
 
 
-_Way = abc.Callable[..., rate_limits.Part]
+_Way = abc.Callable[..., rate_limits.RateShare]
 
 
 def _shared(home_share: float, domains: int) -> _Way:
@@ -240,7 +240,7 @@
         others_share = (1.0 - home_share) / (domains - 1)
         share = home_share if own == home else others_share
         per_s = rate_limits.USED_SHARE * limit_per_s * share
-        return rate_limits.Part(max(per_s, rate_limits.PROBES_PER_S))
+        return rate_limits.RateShare(max(per_s, rate_limits.PROBES_PER_S))
 
     return part
 
@@ -248,7 +248,7 @@
 def _ways(load: Load) -> dict[str, _Way]:
     """Returns ways to share a limit out, by name."""
     return {
-        "none": lambda *_: rate_limits.Part(1_000.0),
+        "none": lambda *_: rate_limits.RateShare(1_000.0),
         "home domain only (kept)": rate_limits.delegate_part,
         "half to the home domain": _shared(0.5, load.domains),
         "even over domains": _shared(1.0 / load.domains, load.domains),
--- a/cardamombarrow/decisions/capacity.py
+++ b/cardamombarrow/decisions/capacity.py
@@ -81,7 +81,9 @@
         """Recomputes `slots` after a change of the shares."""
         self.slots = sum(state.share for state in self.local)
 
-    def guess(self, classes: dict[ids.ClassId, schema.RequestClass]) -> None:
+    def set_initial_hold_times(
+        self, classes: dict[ids.ClassId, schema.RequestClass]
+    ) -> None:
         """Sets initial hold times from the document's expected tokens."""
         self._initial_hold_s = {
             name: item.expected_tokens * INITIAL_TOKEN_S
@@ -154,12 +156,12 @@
         """Mean time from placement to the first token."""
         return self._first_token_s
 
-    def use_above(self, rank: int, now_s: float) -> float:
+    def mean_use_above(self, rank: int, now_s: float) -> float:
         """Returns the recent mean of slots that higher tiers hold."""
         self._update_use(now_s)
         return sum(use for other, use in self._mean_use.items() if other < rank)
 
-    def use_of(self, rank: int, now_s: float) -> float:
+    def mean_use_of(self, rank: int, now_s: float) -> float:
         """Returns the recent mean of slots that a tier holds."""
         self._update_use(now_s)
         return self._mean_use.get(rank, 0.0)
--- a/cardamombarrow/decisions/dispatcher_state.py
+++ b/cardamombarrow/decisions/dispatcher_state.py
@@ -12,10 +12,10 @@
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
-__all__ = ["Knowledge"]
+__all__ = ["DispatcherState"]
 
 
-class Knowledge:
+class DispatcherState:
     """The policies in force and the state on which they decide."""
 
     def __init__(self, context: context_module.PolicyContext, now_s: float):
@@ -36,11 +36,11 @@
         self._roster.configure(document, now_s)
         self.refresh_shares(now_s)
 
-    def set_found(
+    def set_discovered(
         self, found: tuple[messages.KnownEndpoint, ...], now_s: float
     ) -> None:
         """Sets the discovered endpoints, in addition to the document's."""
-        self._roster.set_found(found, now_s)
+        self._roster.set_discovered(found, now_s)
         self.refresh_shares(now_s)
 
     def set_instances(self, count: int) -> None:
@@ -59,25 +59,25 @@
         """Stores an endpoint's load report."""
         self._roster.report(endpoint, report)
 
-    def hear_rate_limit(
+    def update_rate_limit(
         self,
         endpoint: ids.EndpointId,
         limit: messages.RateLimit,
         *,
-        first_hand: bool = True,
+        is_direct: bool = True,
     ) -> messages.RateLimit | None:
         """Updates the rate limit that an endpoint advertises.
 
         Args:
             endpoint: The endpoint.
             limit: Its limit.
-            first_hand: Whether this instance received the answer itself.
+            is_direct: Whether this instance received the answer itself.
 
         Returns:
             The previous limit if it has changed; otherwise None.
         """
         limits = self._context.rate_limits
-        before = limits.hear(endpoint, limit, first_hand=first_hand)
+        before = limits.update(endpoint, limit, is_direct=is_direct)
         if before is not None:
             self._roster.rate_limit_changed(endpoint)
         return before
@@ -94,23 +94,23 @@
         """Sets whether an endpoint is leaving, from the platform or a peer."""
         self._roster.set_leaving(endpoint, leaving)
 
-    def peer(self, demand: messages.PeerDemand) -> None:
+    def update_peer(self, demand: messages.PeerDemand) -> None:
         """Stores another instance's demand."""
-        self._roster.peer(demand)
+        self._roster.update_peer(demand)
 
-    def forget_peer(self, instance: ids.InstanceId) -> None:
+    def remove_peer(self, instance: ids.InstanceId) -> None:
         """Removes an instance that has left."""
-        self._roster.forget_peer(instance)
+        self._roster.remove_peer(instance)
 
     def demand(self, now_s: float) -> messages.PeerDemand:
         """Returns this instance's demand, for gossip."""
         return self._roster.demand(self._waiting.demand, now_s)
 
-    def kept_news(self, now_s: float) -> list[messages.KeptNews]:
+    def take_cache_announcements(self, now_s: float) -> list[messages.KeptNews]:
         """Returns and clears pending cache announcements to other instances."""
         return self._policies.choice.take_news(now_s)
 
-    def hear_kept(
+    def merge_cache_announcements(
         self, news: abc.Iterable[messages.KeptNews], now_s: float
     ) -> None:
         """Merges cache announcements from other instances."""
@@ -126,17 +126,17 @@
         """Merges fingerprints that another instance quarantined."""
         self._policies.quarantine.merge(marks, now_s)
 
-    def set_others(
+    def set_peer_loads(
         self,
         instance: ids.InstanceId,
         loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
     ) -> None:
         """Sets the load on endpoints from another placing instance."""
-        self._roster.set_others(instance, loads)
+        self._roster.set_peer_loads(instance, loads)
 
-    def forget_others(self, instance: ids.InstanceId) -> None:
+    def remove_peer_loads(self, instance: ids.InstanceId) -> None:
         """Removes the load of an instance that no longer reports."""
-        self._roster.forget_others(instance)
+        self._roster.remove_peer_loads(instance)
 
     def own_loads(
         self, now_s: float
@@ -148,9 +148,9 @@
             if state.running
         }
 
-    def learn_from(self, other: "Knowledge", now_s: float) -> None:
+    def copy_from(self, other: "DispatcherState", now_s: float) -> None:
         """Copies the state of another dispatcher of the same process."""
-        self._roster.learn_from(other._roster, now_s)
+        self._roster.copy_from(other._roster, now_s)
         self.merge_quarantine(other.quarantine_marks(now_s), now_s)
         self.refresh_shares(now_s)
 
--- a/cardamombarrow/decisions/forecast.py
+++ b/cardamombarrow/decisions/forecast.py
@@ -82,7 +82,7 @@
         back = returning.at(now_s)
         # While the tier's slots are full nobody who comes back is served:
         # counting them as served would send the next ones back too early.
-        spare = max(slots - capacity.use_of(job.rank, now_s), 0.0)
+        spare = max(slots - capacity.mean_use_of(job.rank, now_s), 0.0)
         returning.drain_per_s = spare / max(hold_s, 1e-3)
         return messages.Backlog(
             jobs_ahead=jobs_ahead,
@@ -124,7 +124,7 @@
                 own = max(own, reserved)
             elif tier.rank > job.rank and tier.rank in waiting:
                 lower += reserved
-        left = slots - lower - capacity.use_above(job.rank, now_s)
+        left = slots - lower - capacity.mean_use_above(job.rank, now_s)
         return max(own, left)
 
     def _lower_over_reserve(
--- a/cardamombarrow/decisions/rate_budget.py
+++ b/cardamombarrow/decisions/rate_budget.py
@@ -116,7 +116,7 @@
 
     def _rate_shares(
         self, states: _States
-    ) -> dict[ids.EndpointId, rate_limits.Part]:
+    ) -> dict[ids.EndpointId, rate_limits.RateShare]:
         if not self._limits.count():
             return {}
         rate_shares = {
@@ -130,7 +130,7 @@
 
     def _rate_share(
         self, state: endpoint_module.EndpointState
-    ) -> rate_limits.Part | None:
+    ) -> rate_limits.RateShare | None:
         limit = self._limits.limit(state.endpoint)
         if limit is None:
             return None
--- a/cardamombarrow/decisions/rate_limits.py
+++ b/cardamombarrow/decisions/rate_limits.py
@@ -31,9 +31,9 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
-__all__ = ["Part", "RateLimits", "delegate_part"]
+__all__ = ["RateLimits", "RateShare", "delegate_part"]
 
-LIMITS_KEPT = 1_024
+MAX_LIMITS = 1_024
 """Most endpoints whose limits are stored; a restart may create a new id."""
 
 USED_SHARE = 0.8
@@ -49,14 +49,14 @@
 ACCUMULATION_S = 1.0
 """Time over which unused rate accumulates, to one request at least."""
 
-TOLD_S = 30.0
+ANNOUNCE_END_S = 30.0
 """Time for which the end of a limit is announced to other instances."""
 
 _ROUNDING_ERROR = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
+class RateShare:
     """Rate at which one instance may send to a rate-limited endpoint.
 
     Attributes:
@@ -74,7 +74,7 @@
     endpoint: ids.EndpointId,
     endpoint_domain: ids.DomainId,
     own_domain: ids.DomainId,
-) -> Part:
+) -> RateShare:
     """Returns the rate at which a domain's delegate may send to an endpoint.
 
     Args:
@@ -84,9 +84,9 @@
         own_domain: The delegate's failure domain.
     """
     if own_domain == endpoint_domain:
-        return Part(max(USED_SHARE * limit_per_s, PROBES_PER_S))
+        return RateShare(max(USED_SHARE * limit_per_s, PROBES_PER_S))
     phase = zlib.crc32(f"{endpoint}\n{own_domain}".encode()) / (1 << 32)
-    return Part(PROBES_PER_S, phase / PROBES_PER_S)
+    return RateShare(PROBES_PER_S, phase / PROBES_PER_S)
 
 
 @dataclasses.dataclass(slots=True)
@@ -131,19 +131,19 @@
 
     # -- advertised limits ----------------------------------------------------
 
-    def hear(
+    def update(
         self,
         endpoint: ids.EndpointId,
         limit: messages.RateLimit,
         *,
-        first_hand: bool = True,
+        is_direct: bool = True,
     ) -> messages.RateLimit | None:
         """Updates the limit of an endpoint; outdated limits are ignored.
 
         Args:
             endpoint: The endpoint.
             limit: The limit it advertises.
-            first_hand: Whether this instance received the answer itself.
+            is_direct: Whether this instance received the answer itself.
 
         Returns:
             The previous limit if it has changed; otherwise None.
@@ -156,18 +156,18 @@
                 previous = messages.RateLimit(None, limit.heard_s)
             elif limit.heard_s < previous.heard_s:
                 return None
-            self._store(endpoint, limit, first_hand)
+            self._store(endpoint, limit, is_direct)
             return previous if previous.per_s != limit.per_s else None
 
     def _store(
         self,
         endpoint: ids.EndpointId,
         limit: messages.RateLimit,
-        first_hand: bool,
+        is_direct: bool,
     ) -> None:
         self._latest.pop(endpoint, None)
         self._latest[endpoint] = limit
-        if first_hand:
+        if is_direct:
             self._received[endpoint] = limit
         else:
             self._received.pop(endpoint, None)
@@ -176,7 +176,7 @@
             self._buckets.pop(endpoint, None)
         else:
             self._limited.add(endpoint)
-        if len(self._latest) > LIMITS_KEPT:
+        if len(self._latest) > MAX_LIMITS:
             oldest = next(iter(self._latest))
             for by_endpoint in (self._latest, self._received, self._buckets):
                 by_endpoint.pop(oldest, None)
@@ -191,7 +191,9 @@
         """Counts the endpoints that advertise a limit."""
         return len(self._limited)
 
-    def to_tell(self, now_s: float) -> dict[ids.EndpointId, messages.RateLimit]:
+    def to_announce(
+        self, now_s: float
+    ) -> dict[ids.EndpointId, messages.RateLimit]:
         """Returns the limits to announce to other instances of the domain.
 
         These are limits that this instance received itself, including those
@@ -201,7 +203,8 @@
             return {
                 endpoint: limit
                 for endpoint, limit in self._received.items()
-                if limit.per_s is not None or now_s - limit.heard_s < TOLD_S
+                if limit.per_s is not None
+                or now_s - limit.heard_s < ANNOUNCE_END_S
             }
 
     # -- sending --------------------------------------------------------------
@@ -228,7 +231,7 @@
             return changed
 
     def ready_s(
-        self, endpoint: ids.EndpointId, share: Part, now_s: float
+        self, endpoint: ids.EndpointId, share: RateShare, now_s: float
     ) -> float:
         """Returns when a request may be sent; `now_s` if it may be now."""
         with self._lock:
@@ -239,14 +242,14 @@
         return max(now_s, bucket.since_s) + (1.0 - tokens) / share.per_s
 
     def spend(
-        self, endpoint: ids.EndpointId, share: Part, now_s: float
+        self, endpoint: ids.EndpointId, share: RateShare, now_s: float
     ) -> None:
         """Takes a token for a request; the bucket may become negative."""
         with self._lock:
             self._bucket(endpoint, share, now_s).spend(share.per_s, now_s)
 
     def _bucket(
-        self, endpoint: ids.EndpointId, share: Part, now_s: float
+        self, endpoint: ids.EndpointId, share: RateShare, now_s: float
     ) -> _Bucket:
         return self._buckets.setdefault(
             endpoint, _Bucket(now_s + share.delay_s)
--- a/cardamombarrow/decisions/roster.py
+++ b/cardamombarrow/decisions/roster.py
@@ -22,7 +22,7 @@
 PEER_VIEW_MAX_AGE_S = 600.0
 """A peer not heard for this long counts as not there.
 
-A peer that has left is dropped by `forget_peer`. One that is only cut off goes
+A peer that has left is dropped by `remove_peer`. One that is only cut off goes
 on using its slots: forgotten within seconds, all would take the whole limit.
 """
 
@@ -65,16 +65,16 @@
         self._context = dataclasses.replace(self._context, document=document)
         self._relist(now_s)
 
-    def set_found(
+    def set_discovered(
         self, found: tuple[messages.KnownEndpoint, ...], now_s: float
     ) -> None:
         """Takes the endpoints that discovery knows, beside the document's."""
         self._found = found
         self._relist(now_s)
 
-    def learn_from(self, other: "Roster", now_s: float) -> None:
+    def copy_from(self, other: "Roster", now_s: float) -> None:
         """Takes the endpoints that another roster knows, and their loads."""
-        self.set_found(other._found, now_s)
+        self.set_discovered(other._found, now_s)
         for endpoint, state in other.endpoints.items():
             if state.leaving:
                 self.set_leaving(endpoint, True)
@@ -120,7 +120,9 @@
                 del self.endpoints[endpoint]
                 self._unlisted.discard(endpoint)
         for service in {*document.services, *self.capacities}:
-            self._capacity(service, now_s).guess(document.classes)
+            self._capacity(service, now_s).set_initial_hold_times(
+                document.classes
+            )
             self._regroup(service)
 
     def _capacity(
@@ -224,7 +226,7 @@
             if report.leaving and not state.leaving:
                 self.set_leaving(endpoint, True)
 
-    def set_others(
+    def set_peer_loads(
         self,
         instance: ids.InstanceId,
         loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
@@ -240,7 +242,7 @@
                 state.peer_loads.pop(instance, None)
             self.changed.add(state.service)
 
-    def forget_others(self, instance: ids.InstanceId) -> None:
+    def remove_peer_loads(self, instance: ids.InstanceId) -> None:
         """Drops what an instance had told that is heard of no longer."""
         for state in self.endpoints.values():
             if state.peer_loads.pop(instance, None) is not None:
@@ -253,11 +255,11 @@
             state.leaving = leaving
             self._regroup(state.service)
 
-    def peer(self, demand: messages.PeerDemand) -> None:
+    def update_peer(self, demand: messages.PeerDemand) -> None:
         """Takes another instance's demand."""
         self._peers[demand.instance] = demand
 
-    def forget_peer(self, instance: ids.InstanceId) -> None:
+    def remove_peer(self, instance: ids.InstanceId) -> None:
         """Drops an instance that has left."""
         self._peers.pop(instance, None)
 
--- a/cardamombarrow/decisions/runs.py
+++ b/cardamombarrow/decisions/runs.py
@@ -13,7 +13,7 @@
 __all__ = ["Runs"]
 
 
-class Runs(dispatcher_state.Knowledge):
+class Runs(dispatcher_state.DispatcherState):
     """The requests on endpoints.
 
     Attributes:
--- a/cardamombarrow/decisions/tests/test_first_event.py
+++ b/cardamombarrow/decisions/tests/test_first_event.py
@@ -73,7 +73,7 @@
             messages.KnownEndpoint(name, "letters", domain, 64)
             for name, domain in _ENGINES.items()
         )
-        self.dispatcher.set_found(found, 0.0)
+        self.dispatcher.set_discovered(found, 0.0)
         self.choice = self.dispatcher._policies.choice
         self.placed = collections.defaultdict(list)
         self.first_token_s = {}
@@ -356,7 +356,9 @@
     one.send(0.0, "letter", [("shared", 13_300)], 100)
     one.advance(1.0)
     (holder,) = one.placed["letter"]
-    other.dispatcher.hear_kept(one.dispatcher.kept_news(1.0), 1.0)
+    other.dispatcher.merge_cache_announcements(
+        one.dispatcher.take_cache_announcements(1.0), 1.0
+    )
     for _ in range(12):
         other.send(1.5, "letter", [("shared", 13_300)], 100)
     other.advance(10.0)
--- a/cardamombarrow/decisions/tests/test_fleet.py
+++ b/cardamombarrow/decisions/tests/test_fleet.py
@@ -52,7 +52,7 @@
     )
     dispatcher = core.Dispatcher(context, 0.0)
     found = messages.KnownEndpoint(_SERVER, service.service, "one", 6)
-    dispatcher.set_found((found,), 0.0)
+    dispatcher.set_discovered((found,), 0.0)
     return dispatcher
 
 
--- a/cardamombarrow/decisions/tests/test_others_load.py
+++ b/cardamombarrow/decisions/tests/test_others_load.py
@@ -84,13 +84,13 @@
     loads = {
         each: messages.OthersLoad((0,) * 12, 0, 0.0, 0.0) for each in others
     }
-    dispatcher.set_others(_PEER, loads)
+    dispatcher.set_peer_loads(_PEER, loads)
     assert _place(dispatcher, 1) == [full]
-    dispatcher.set_others(
+    dispatcher.set_peer_loads(
         _PEER, {full: messages.OthersLoad((0,) * 12, 0, 0.0, 0.0)}
     )
     assert _place(dispatcher, 2) == []
-    dispatcher.forget_others(_PEER)
+    dispatcher.remove_peer_loads(_PEER)
     assert [each.request_id for each in dispatcher.place(0.0)] == ["r2"]
 
 
@@ -101,7 +101,7 @@
         for each in many_entries.ENDPOINTS
         if each != free
     }
-    dispatcher.set_others(_PEER, loads)
+    dispatcher.set_peer_loads(_PEER, loads)
     assert _place(dispatcher, 1) == [free]
 
 
@@ -134,7 +134,7 @@
     full = dict.fromkeys(
         many_entries.ENDPOINTS, messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
     )
-    dispatcher.set_others(_PEER, full)
+    dispatcher.set_peer_loads(_PEER, full)
     assert dispatcher.offer(_long(1), 0.0) is None
     assert list(dispatcher.place(0.0)) == []
     assert len(_place(dispatcher, 2)) == 1
@@ -148,7 +148,7 @@
     digests = messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
     loads = dict.fromkeys(many_entries.ENDPOINTS, digests)
     loads[free] = messages.OthersLoad((2,) * 11, 1, 3_000.0, 0.0)
-    dispatcher.set_others(_PEER, loads)
+    dispatcher.set_peer_loads(_PEER, loads)
     assert _place(dispatcher, 1) == [free]
 
 
@@ -159,5 +159,5 @@
     full = dict.fromkeys(
         many_entries.ENDPOINTS, messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
     )
-    dispatcher.set_others(_PEER, full)
+    dispatcher.set_peer_loads(_PEER, full)
     assert _place(dispatcher, 1) == []
--- a/cardamombarrow/decisions/tests/test_plain_calls.py
+++ b/cardamombarrow/decisions/tests/test_plain_calls.py
@@ -76,7 +76,7 @@
             messages.KnownEndpoint(name, "bookings", domain, 6)
             for name, domain in _SERVERS.items()
         )
-        self.dispatcher.set_found(found, 0.0)
+        self.dispatcher.set_discovered(found, 0.0)
         self._work_s = work_s
         self._ends = []
         self._again = []
--- a/cardamombarrow/decisions/tests/test_rate_limits.py
+++ b/cardamombarrow/decisions/tests/test_rate_limits.py
@@ -22,26 +22,26 @@
 
 def test_limit_applies_until_an_answer_replaces_it():
     limits = rate_limits.RateLimits()
-    assert limits.hear(_ENDPOINT, _limit(None, 1.0)) is None
-    assert limits.hear(_ENDPOINT, _limit(2.0, 2.0)).per_s is None
-    assert limits.hear(_ENDPOINT, _limit(2.0, 3.0)) is None
+    assert limits.update(_ENDPOINT, _limit(None, 1.0)) is None
+    assert limits.update(_ENDPOINT, _limit(2.0, 2.0)).per_s is None
+    assert limits.update(_ENDPOINT, _limit(2.0, 3.0)) is None
     assert limits.limit(_ENDPOINT).per_s == 2.0
-    assert limits.hear(_ENDPOINT, _limit(None, 4.0)).per_s == 2.0
+    assert limits.update(_ENDPOINT, _limit(None, 4.0)).per_s == 2.0
     assert limits.limit(_ENDPOINT) is None
 
 
 def test_older_answer_does_not_end_a_limit():
     limits = rate_limits.RateLimits()
-    limits.hear(_ENDPOINT, _limit(2.0, 2.0))
-    assert limits.hear(_ENDPOINT, _limit(None, 1.5)) is None
+    limits.update(_ENDPOINT, _limit(2.0, 2.0))
+    assert limits.update(_ENDPOINT, _limit(None, 1.5)) is None
     assert limits.limit(_ENDPOINT).per_s == 2.0
 
 
 def test_number_of_stored_limits_is_bounded():
     limits = rate_limits.RateLimits()
-    for number in range(2 * rate_limits.LIMITS_KEPT):
-        limits.hear(f"10.0.0.{number}:80", _limit(1.0, float(number)))
-    assert limits.count() == rate_limits.LIMITS_KEPT
+    for number in range(2 * rate_limits.MAX_LIMITS):
+        limits.update(f"10.0.0.{number}:80", _limit(1.0, float(number)))
+    assert limits.count() == rate_limits.MAX_LIMITS
 
 
 _DOMAIN = "home"
@@ -121,17 +121,17 @@
 
 def test_only_own_limits_and_recent_ends_are_announced():
     limits = rate_limits.RateLimits()
-    limits.hear(_ENDPOINT, _limit(1.0, 0.0))
-    limits.hear("10.0.0.2:80", _limit(1.0, 0.0), first_hand=False)
-    assert list(limits.to_tell(100.0)) == [_ENDPOINT]
-    limits.hear(_ENDPOINT, _limit(None, 100.0))
-    assert limits.to_tell(101.0)[_ENDPOINT].per_s is None
-    assert not limits.to_tell(100.0 + rate_limits.TOLD_S)
+    limits.update(_ENDPOINT, _limit(1.0, 0.0))
+    limits.update("10.0.0.2:80", _limit(1.0, 0.0), is_direct=False)
+    assert list(limits.to_announce(100.0)) == [_ENDPOINT]
+    limits.update(_ENDPOINT, _limit(None, 100.0))
+    assert limits.to_announce(101.0)[_ENDPOINT].per_s is None
+    assert not limits.to_announce(100.0 + rate_limits.ANNOUNCE_END_S)
 
 
 def _advertise(dispatcher, endpoints, per_s, now_s=0.0):
     for endpoint in endpoints:
-        dispatcher.hear_rate_limit(endpoint, _limit(per_s, now_s))
+        dispatcher.update_rate_limit(endpoint, _limit(per_s, now_s))
     dispatcher.refresh_shares(now_s)
 
 
--- a/cardamombarrow/decisions/tiers.py
+++ b/cardamombarrow/decisions/tiers.py
@@ -209,7 +209,7 @@
 ) -> bool:
     """Tells whether the free slots are kept for higher tiers."""
     kept = math.floor(capacity.slots * HEADROOM_SHARE)
-    if not kept or capacity.use_above(rank, now_s) < HEADROOM_USE:
+    if not kept or capacity.mean_use_above(rank, now_s) < HEADROOM_USE:
         return False
     return capacity.free() <= kept
 
--- a/cardamombarrow/entry/broker.py
+++ b/cardamombarrow/entry/broker.py
@@ -261,21 +261,21 @@
         with self._lock:
             return self._dispatcher.own_loads(self._clock.now_s())
 
-    def set_others(
+    def set_peer_loads(
         self,
         instance: ids.InstanceId,
         loads: dict[ids.EndpointId, messages.OthersLoad],
     ) -> None:
         """Takes what another domain's placer has on endpoints."""
         with self._lock:
-            self._dispatcher.set_others(instance, loads)
+            self._dispatcher.set_peer_loads(instance, loads)
             lines = self._run_due()
         decision_lines.write(lines)
 
-    def forget_others(self, instance: ids.InstanceId) -> None:
+    def remove_peer_loads(self, instance: ids.InstanceId) -> None:
         """Drops what a placer told that is heard of no longer."""
         with self._lock:
-            self._dispatcher.forget_others(instance)
+            self._dispatcher.remove_peer_loads(instance)
             lines = self._run_due()
         decision_lines.write(lines)
 
--- a/cardamombarrow/entry/knowing.py
+++ b/cardamombarrow/entry/knowing.py
@@ -126,7 +126,7 @@
             )
             with self._lock:
                 now_s = self._clock.now_s()
-                mirror._dispatcher.learn_from(self._dispatcher, now_s)
+                mirror._dispatcher.copy_from(self._dispatcher, now_s)
                 self._mirror = mirror
             mirror.start()
         return self._mirror
@@ -183,14 +183,14 @@
         if self._mirror is not None:
             self._mirror.configure(document)
 
-    def set_found(self, found: tuple[messages.KnownEndpoint, ...]) -> None:
+    def set_discovered(self, found: tuple[messages.KnownEndpoint, ...]) -> None:
         """Takes the endpoints that discovery knows."""
         with self._lock:
-            self._dispatcher.set_found(found, self._clock.now_s())
+            self._dispatcher.set_discovered(found, self._clock.now_s())
             lines = self._run_due()
         decision_lines.write(lines)
         if self._mirror is not None:
-            self._mirror.set_found(found)
+            self._mirror.set_discovered(found)
 
     def set_instances(self, count: int) -> None:
         """Learns how many instances share what is bounded over all."""
@@ -243,7 +243,7 @@
         """Takes what an endpoint's answer states of the rate it takes."""
         self._hear_rate_limit(endpoint, limit, _ANSWER)
 
-    def hear_rate_limit(
+    def update_rate_limit(
         self, endpoint: ids.EndpointId, limit: messages.RateLimit, source: str
     ) -> bool:
         """Takes what another instance says of an endpoint's limit.
@@ -257,8 +257,8 @@
         self, endpoint: ids.EndpointId, limit: messages.RateLimit, source: str
     ) -> bool:
         with self._lock:
-            before = self._dispatcher.hear_rate_limit(
-                endpoint, limit, first_hand=source == _ANSWER
+            before = self._dispatcher.update_rate_limit(
+                endpoint, limit, is_direct=source == _ANSWER
             )
         if before is None:
             return False
@@ -282,7 +282,7 @@
 
     def rate_limits_to_tell(self) -> dict[ids.EndpointId, messages.RateLimit]:
         """Returns what others of the domain are told of endpoints' limits."""
-        return self._context.rate_limits.to_tell(self._clock.now_s())
+        return self._context.rate_limits.to_announce(self._clock.now_s())
 
     def set_delegate(self, is_delegate: bool) -> None:
         """Learns whether this instance spends its domain's parts of limits."""
@@ -326,27 +326,31 @@
         with self._lock:
             return self._dispatcher.demand(self._clock.now_s())
 
-    def peer(self, demand: messages.PeerDemand) -> None:
+    def update_peer(self, demand: messages.PeerDemand) -> None:
         """Takes another instance's demand."""
         with self._lock:
-            self._dispatcher.peer(demand)
+            self._dispatcher.update_peer(demand)
 
-    def forget_peer(self, instance: ids.InstanceId) -> None:
+    def remove_peer(self, instance: ids.InstanceId) -> None:
         """Drops an instance that has left."""
         with self._lock:
-            self._dispatcher.forget_peer(instance)
+            self._dispatcher.remove_peer(instance)
 
-    def kept_news(self) -> list[messages.KeptNews]:
+    def take_cache_announcements(self) -> list[messages.KeptNews]:
         """Returns what is new about engines' caches, for the others."""
         with self._lock:
-            return self._dispatcher.kept_news(self._clock.now_s())
+            return self._dispatcher.take_cache_announcements(
+                self._clock.now_s()
+            )
 
-    def hear_kept(self, news: list[messages.KeptNews]) -> None:
+    def merge_cache_announcements(self, news: list[messages.KeptNews]) -> None:
         """Takes what other instances know of engines' caches."""
         with self._lock:
-            self._dispatcher.hear_kept(news, self._clock.now_s())
+            self._dispatcher.merge_cache_announcements(
+                news, self._clock.now_s()
+            )
         if self._mirror is not None:
-            self._mirror.hear_kept(news)
+            self._mirror.merge_cache_announcements(news)
 
     def quarantine_marks(self) -> dict[ids.Fingerprint, float]:
         """Returns quarantined fingerprints and seconds left, for gossip."""
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -146,7 +146,11 @@
 
     def _confirm_request(self, address: str) -> control_pb2.ConfirmRequest:
         usage, self._usage_number = self.meter.unconfirmed(address)
-        news = [] if self._broker is None else self._broker.kept_news()
+        news = (
+            []
+            if self._broker is None
+            else self._broker.take_cache_announcements()
+        )
         return control_pb2.ConfirmRequest(
             instance=self._instance,
             domain=self._domain,
@@ -198,7 +202,9 @@
             self._broker.set_instances(max(reply.entry_count, 1))
             self._kept_number = reply.kept_number
             known = self.membership.endpoints_by_hash()
-            self._broker.hear_kept(kept_codec.kept_from_wire(reply.kept, known))
+            self._broker.merge_cache_announcements(
+                kept_codec.kept_from_wire(reply.kept, known)
+            )
         if self._teller is not None:
             self._teller.set_placers(reply.placers)
         if self._node is not None:
@@ -374,7 +380,7 @@
             logs.decision(
                 "endpoints", endpoints=[each.endpoint for each in found]
             )
-            self._broker.set_found(found)
+            self._broker.set_discovered(found)
             self.membership.on_found(found)
 
     def on_settings(self, settings: settings_module.EntrySettings) -> None:
--- a/cardamombarrow/entry/placer.py
+++ b/cardamombarrow/entry/placer.py
@@ -192,19 +192,19 @@
         """Returns what runs by decisions made here; empty without owners."""
         return self._broker.own_loads() if self._owners else {}
 
-    def set_others(
+    def set_peer_loads(
         self,
         instance: ids.InstanceId,
         loads: dict[ids.EndpointId, messages.OthersLoad],
     ) -> None:
         """Takes what the placer of another domain has on endpoints."""
         if self._broker is not None:
-            self._broker.set_others(instance, loads)
+            self._broker.set_peer_loads(instance, loads)
 
-    def forget_others(self, instance: ids.InstanceId) -> None:
+    def remove_peer_loads(self, instance: ids.InstanceId) -> None:
         """Drops what a placer told that is heard of no longer."""
         if self._broker is not None:
-            self._broker.forget_others(instance)
+            self._broker.remove_peer_loads(instance)
 
     def loaded(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
--- a/cardamombarrow/peers/membership.py
+++ b/cardamombarrow/peers/membership.py
@@ -311,7 +311,7 @@
             self._broker.merge_quarantine(marks)
         for row in self._table.others():
             if row.instance in changes.refreshed:
-                self._broker.peer(self._demand_of(row))
+                self._broker.update_peer(self._demand_of(row))
         return news
 
     def _take_limit(
@@ -384,7 +384,7 @@
         delegate = order_module.first_member(self._members)
         self._broker.set_delegate(delegate == self._instance)
         for instance in gone:
-            self._broker.forget_peer(instance)
+            self._broker.remove_peer(instance)
             with self._lock:
                 back = self._leaving.forget_source(_by_peer(instance))
             for endpoint in back:
--- a/cardamombarrow/peers/placing_service.py
+++ b/cardamombarrow/peers/placing_service.py
@@ -119,7 +119,7 @@
                     if not instance:
                         instance = ids.InstanceId(news.instance)
                         self._tellers[instance] = stream
-                    self._placer.set_others(
+                    self._placer.set_peer_loads(
                         instance,
                         placing_codec.loads_from_wire(
                             news, self._endpoints(), time.monotonic()
@@ -131,7 +131,7 @@
             # has; the end of the one before must not take that away.
             if self._tellers.get(instance) is stream:
                 del self._tellers[instance]
-                self._placer.forget_others(instance)
+                self._placer.remove_peer_loads(instance)
 
     def _take(
         self, owner: placer_module.Owner, message: placing_pb2.PlacingRequest
--- a/cardamombarrow/peers/rate_limit_news.py
+++ b/cardamombarrow/peers/rate_limit_news.py
@@ -49,7 +49,7 @@
     ) -> bool:
         """Takes what another instance tells; returns whether it is news."""
         source = f"instance {instance}"
-        return self._broker.hear_rate_limit(endpoint, limit, source)
+        return self._broker.update_rate_limit(endpoint, limit, source)
 
 
 def _is_due(told: messages.RateLimit, limit: messages.RateLimit) -> bool:
--- a/cardamombarrow/peers/tests/test_membership.py
+++ b/cardamombarrow/peers/tests/test_membership.py
@@ -32,7 +32,7 @@
     def rate_limits_to_tell(self):
         return {}
 
-    def peer(self, demand):
+    def update_peer(self, demand):
         """Does nothing."""
 
 
--- a/cardamombarrow/peers/tests/test_placing_teller.py
+++ b/cardamombarrow/peers/tests/test_placing_teller.py
@@ -64,12 +64,12 @@
     def __init__(self):
         self.loads = {}
 
-    def set_others(self, instance, loads):
+    def set_peer_loads(self, instance, loads):
         told = self.loads.setdefault(instance, {})
         for endpoint, load in loads.items():
             told[endpoint] = len(load.ranks)
 
-    def forget_others(self, instance):
+    def remove_peer_loads(self, instance):
         self.loads.pop(instance, None)
 
 
--- a/cardamombarrow/peers/tests/test_rate_limit_news.py
+++ b/cardamombarrow/peers/tests/test_rate_limit_news.py
@@ -26,10 +26,10 @@
         self.now_s = 0.0
 
     def rate_limits_to_tell(self):
-        return self.limits.to_tell(self.now_s)
+        return self.limits.to_announce(self.now_s)
 
-    def hear_rate_limit(self, endpoint, limit, source):
-        before = self.limits.hear(endpoint, limit, first_hand=False)
+    def update_rate_limit(self, endpoint, limit, source):
+        before = self.limits.update(endpoint, limit, is_direct=False)
         return before is not None
 
 
@@ -60,7 +60,7 @@
     assert not news.is_urgent()
     for per_s in (1.0, 0.5, None):
         broker.now_s += 1.0
-        broker.limits.hear(_ENDPOINT, _limit(per_s, broker.now_s))
+        broker.limits.update(_ENDPOINT, _limit(per_s, broker.now_s))
         assert news.is_urgent()
         assert news.collect()[_KEY].per_s == per_s
         assert not news.is_urgent()
@@ -72,7 +72,7 @@
     told = set()
     for step in range(100):
         broker.now_s = step * 0.1
-        broker.limits.hear(_ENDPOINT, _limit(1.0, broker.now_s))
+        broker.limits.update(_ENDPOINT, _limit(1.0, broker.now_s))
         told.add(news.collect()[_KEY].heard_s)
     assert len(told) <= 100 * 0.1 / rate_limit_news.RENEWAL_S + 1
 
@@ -80,8 +80,8 @@
 def test_an_older_word_of_another_instance_changes_nothing():
     broker = _Broker()
     news = rate_limit_news.RateLimitNews(broker)
-    broker.limits.hear(_ENDPOINT, _limit(None, 5.0))
+    broker.limits.update(_ENDPOINT, _limit(None, 5.0))
     assert news.take(_ENDPOINT, _limit(1.0, 6.0), ids.InstanceId("e"))
-    broker.limits.hear(_ENDPOINT, _limit(None, 7.0))
+    broker.limits.update(_ENDPOINT, _limit(None, 7.0))
     assert not news.take(_ENDPOINT, _limit(1.0, 6.5), ids.InstanceId("e"))
     assert broker.limits.limit(_ENDPOINT) is None
