--- a/cardamombarrow/peers/gossip_bridge.py
+++ b/cardamombarrow/peers/gossip_bridge.py
@@ -330,7 +330,7 @@
             self._broker.merge_quarantine(quarantined)
         for row in self._table.others():
             if row.instance in changes.refreshed:
-                self._broker.peer(self._peer_demand(row))
+                self._broker.update_peer(self._peer_demand(row))
         return pass_on
 
     def _apply_rate_limit(
@@ -408,7 +408,7 @@
         delegate = order_module.first_member(self._members)
         self._broker.set_delegate(delegate == self._instance)
         for instance in gone:
-            self._broker.forget_peer(instance)
+            self._broker.remove_peer(instance)
             with self._lock:
                 restored = self._leaving.forget_source(_peer_source(instance))
             for endpoint in restored:
--- a/cardamombarrow/peers/placing_service.py
+++ b/cardamombarrow/peers/placing_service.py
@@ -124,7 +124,7 @@
                     if not instance:
                         instance = ids.InstanceId(news.instance)
                         self._load_streams[instance] = stream
-                    self._placer.set_others(
+                    self._placer.set_peer_loads(
                         instance,
                         placing_codec.loads_from_wire(
                             news, self._endpoints(), time.monotonic()
@@ -136,7 +136,7 @@
             # stream; the end of the old stream must not remove them.
             if self._load_streams.get(instance) is stream:
                 del self._load_streams[instance]
-                self._placer.forget_others(instance)
+                self._placer.remove_peer_loads(instance)
 
     def _apply_events(
         self, owner: placer_module.Owner, message: placing_pb2.PlacingRequest
--- a/cardamombarrow/peers/rate_limit_gossip.py
+++ b/cardamombarrow/peers/rate_limit_gossip.py
@@ -50,7 +50,7 @@
     ) -> bool:
         """Applies a limit of another instance; returns whether it is new."""
         source = f"instance {instance}"
-        return self._broker.hear_rate_limit(endpoint, limit, source)
+        return self._broker.update_rate_limit(endpoint, limit, source)
 
 
 def _is_due(published: messages.RateLimit, limit: messages.RateLimit) -> bool:
