--- a/cardamombarrow/entry/asking.py
+++ b/cardamombarrow/entry/asking.py
@@ -1,4 +1,4 @@
-"""Who decides where an entry's requests go, if not the entry alone."""
+"""Interface through which an entry delegates placement to the placer."""
 
 import abc
 
@@ -10,51 +10,51 @@
 
 
 class Asking(abc.ABC):
-    """The way to the placer of the domain.
+    """The domain's placer, as seen by an entry's broker.
 
-    All methods return at once and may be called under the broker's lock. What
-    becomes of a question reaches the broker by `Broker.on_answer` or
+    All methods return immediately and may be called under the broker's lock.
+    The result of a question is delivered through `Broker.on_answer` or
     `Broker.fall_back`.
     """
 
     @abc.abstractmethod
     def takes(self) -> bool:
-        """Tells whether a question would reach a placer now."""
+        """Returns whether a placer is connected now."""
 
     @abc.abstractmethod
     def ask(self, job: messages.Job) -> None:
-        """Asks where a request goes."""
+        """Asks where to send a request."""
 
     @abc.abstractmethod
     def withdraw(self, request_id: ids.RequestId) -> None:
-        """Takes a question back."""
+        """Withdraws a question."""
 
     @abc.abstractmethod
     def ran(self, run: placing_messages.Run) -> None:
-        """Tells of a request that this entry has sent by its own decision."""
+        """Reports a request that this entry placed by its own decision."""
 
     @abc.abstractmethod
     def began(self, request_id: ids.RequestId) -> None:
-        """Tells that a request's first event came."""
+        """Reports that a request's first event has arrived."""
 
     @abc.abstractmethod
     def ended(
         self, request_id: ids.RequestId, outcome: messages.Outcome, tokens: int
     ) -> None:
-        """Tells that a request has left its endpoint."""
+        """Reports that a request's run on its endpoint has ended."""
 
     @abc.abstractmethod
     def loaded(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
-        """Tells what an answer said of its endpoint's load."""
+        """Forwards the load report that came with an endpoint's answer."""
 
 
 class NobodyAsked(Asking):
-    """The entry decides by itself."""
+    """No placer: the entry decides by itself."""
 
     def takes(self) -> bool:
-        """Takes no question."""
+        """Returns False."""
         return False
 
     def ask(self, job: messages.Job) -> None:
--- a/cardamombarrow/entry/broker.py
+++ b/cardamombarrow/entry/broker.py
@@ -1,12 +1,12 @@
-"""The dispatcher behind a lock: threads wait here for a place.
+"""Thread-safe front end of the dispatcher; request threads wait on its futures.
 
-Each request's thread hands in a job and waits on a future. Whenever a job
-arrives, a slot is released, or something that waits is due, the decisions are
-carried out by resolving the futures of the jobs that they concern.
+Each request's thread submits a job and waits on a future. Whenever a job
+arrives, a slot is released or a timer is due, the broker runs the dispatcher
+and resolves the futures of the jobs that were decided on.
 
-Where the placer of the domain can be asked, it decides in place of the own
-dispatcher, which is told what was decided: it takes over the moment when no
-answer comes.
+While the domain's placer is reachable, it decides instead of the local
+dispatcher. The local dispatcher records those decisions, so that it can take
+over as soon as an answer fails to arrive.
 """
 
 from concurrent import futures
@@ -23,38 +23,40 @@
 
 __all__ = ["Broker"]
 
-_HONOURED = frozenset(
+_FINAL_REFUSALS = frozenset(
     (
         errors.ErrorKind.OVERLOADED,
         errors.ErrorKind.QUEUE_TIMEOUT,
         errors.ErrorKind.QUARANTINED,
     )
 )
-"""Refusals of the placer that are passed on to the caller. Any other one tells
-what the placer lacks, which this entry may have."""
+"""Refusals of the placer that are passed on to the caller. Other kinds describe
+the state of the placer, so the request is decided locally instead."""
 
 
 class Broker(knowing.KnowingBroker):
-    """One dispatcher, shared by the threads of an entry."""
+    """A dispatcher shared by the request threads of an entry."""
 
     def submit(self, job: messages.Job) -> ticket_module.Ticket:
-        """Hands in an arriving job.
+        """Submits a job that has arrived.
 
         Raises:
-            errors.RefusedError: It is refused at once.
+            errors.RefusedError: The job is refused immediately.
         """
         ticket = ticket_module.Ticket(job, futures.Future())
         lines: list[decision_lines.Line] = []
         with self._lock:
             now_s = self._clock.now_s()
-            asks = self._asks(job, now_s)
+            use_placer = self._use_placer(job, now_s)
             offer = (
-                self._dispatcher.announce if asks else self._dispatcher.offer
+                self._dispatcher.announce
+                if use_placer
+                else self._dispatcher.offer
             )
             refusal = offer(job, now_s)
             if refusal is None:
                 self._tickets[job.request_id] = ticket
-                if asks:
+                if use_placer:
                     self._asking.ask(job)
                 else:
                     lines = self._run_due()
@@ -65,21 +67,25 @@
         decision_lines.write(lines)
         return ticket
 
-    def _asks(self, job: messages.Job, now_s: float) -> bool:
+    def _use_placer(self, job: messages.Job, now_s: float) -> bool:
         return self._asking.takes() and self._dispatcher.may_ask(job, now_s)
 
     def resubmit(
         self, ticket: ticket_module.Ticket, outcome: messages.Outcome
     ) -> ticket_module.Ticket | None:
-        """Queues a failed job again; None where that is not allowed."""
+        """Queues a failed job again.
+
+        Returns:
+            The ticket of the new attempt; None if no retry is allowed.
+        """
         job = ticket.job
-        again = ticket_module.Ticket(job, futures.Future())
+        new_ticket = ticket_module.Ticket(job, futures.Future())
         with self._lock:
             now_s = self._clock.now_s()
-            asks = self._asks(job, now_s)
-            if not self._dispatcher.retry(job, outcome, now_s, asks):
+            use_placer = self._use_placer(job, now_s)
+            if not self._dispatcher.retry(job, outcome, now_s, use_placer):
                 return None
-            self._tickets[job.request_id] = again
+            self._tickets[job.request_id] = new_ticket
             attempts = job.attempts
             if self._dispatcher.is_announced(job.request_id):
                 self._asking.ask(job)
@@ -93,20 +99,20 @@
             tried=job.tried,
         )
         decision_lines.write(lines)
-        return again
+        return new_ticket
 
     def may_redo(self, job: messages.Job) -> bool:
-        """Tells whether a running job could be sent elsewhere now."""
+        """Returns whether a running job could be sent elsewhere now."""
         with self._lock:
             return self._dispatcher.may_redo(job, self._clock.now_s())
 
     def withdraw(self, ticket: ticket_module.Ticket) -> None:
-        """Takes a job back whose caller left before it saw its place.
+        """Withdraws a job whose caller left while waiting for a placement.
 
-        The caller may leave at the moment when the job is placed. Decisions
-        are carried out under the lock, so the job either waits still, or its
-        future tells what became of it; a placed one is finished here, because
-        nobody else will: its slot would be lost until a restart.
+        The caller may leave at the moment the job is placed. Decisions are
+        carried out under the lock, so the job is either still waiting or its
+        future is resolved. A placed job is finished here; otherwise its slot
+        would stay taken until a restart.
         """
         lines: list[decision_lines.Line] = []
         with self._lock:
@@ -120,7 +126,7 @@
         decision_lines.write(lines)
 
     def first_token(self, request_id: ids.RequestId) -> None:
-        """Tells that the first token came."""
+        """Records that a request's first token has arrived."""
         with self._lock:
             self._dispatcher.first_token(request_id, self._clock.now_s())
             self._asking.began(request_id)
@@ -128,7 +134,7 @@
         decision_lines.write(lines)
 
     def progress(self, request_id: ids.RequestId, tokens: int) -> None:
-        """Tells how many tokens were relayed so far."""
+        """Records how many tokens have been relayed so far."""
         self._dispatcher.progress(request_id, tokens)
 
     def finish(
@@ -154,15 +160,16 @@
     def on_answer(
         self, answer: placing_messages.Answer, placer: str, asked_s: float
     ) -> bool:
-        """Takes the placer's decision on a request that was asked about.
+        """Applies the placer's decision on a request.
 
         Args:
             answer: The decision.
-            placer: Who made it.
-            asked_s: How long ago it was asked for.
+            placer: Id of the instance that decided.
+            asked_s: Time since the question was sent, in seconds.
 
         Returns:
-            False where the request is decided on here all the same.
+            False if the decision is not applied and the request is decided
+            locally.
         """
         decision = answer.decision
         lines = []
@@ -178,14 +185,14 @@
                 return True
             if isinstance(decision, messages.Placement):
                 decision = self._with_rate_limit(decision)
-                taken = self._adopt(ticket, answer, decision)
+                applied = self._adopt(ticket, answer, decision)
             else:
-                taken = decision.kind in _HONOURED
-                if taken:
+                applied = decision.kind in _FINAL_REFUSALS
+                if applied:
                     self._dispatcher.refused_elsewhere(answer.request_id)
                     del self._tickets[answer.request_id]
                     ticket.placed.set_exception(_refused(ticket.job, decision))
-            if taken:
+            if applied:
                 lines = [
                     decision_lines.Line(
                         ticket.job,
@@ -195,12 +202,12 @@
                         asked_s,
                     )
                 ]
-        if taken:
+        if applied:
             decision_lines.write(lines)
         else:
             self._asking.withdraw(answer.request_id)
-            self.fall_back(answer.request_id, _not_taken(decision))
-        return taken
+            self.fall_back(answer.request_id, _not_applied(decision))
+        return applied
 
     def _adopt(
         self,
@@ -221,7 +228,7 @@
     def _with_rate_limit(
         self, placement: messages.Placement
     ) -> messages.Placement:
-        """Adds the limit that this entry knows of, for the log."""
+        """Adds the rate limit known to this entry, for the log."""
         limit = self._dispatcher.rate_limit(placement.endpoint)
         if limit is None:
             return placement
@@ -232,18 +239,18 @@
         )
 
     def fall_back(self, request_id: ids.RequestId, reason: str) -> None:
-        """Decides here on a request on which the placer has not decided."""
+        """Decides locally on a request on which the placer has not decided."""
         with self._lock:
             now_s = self._clock.now_s()
             if not self._dispatcher.decide_here(request_id, now_s):
                 return
             lines = self._run_due()
             self._wake_if_earlier()
-        logs.decision("decide here", request_id=request_id, reason=reason)
+        logs.decision("local decision", request_id=request_id, reason=reason)
         decision_lines.write(lines)
 
     def runs(self) -> list[placing_messages.Run]:
-        """Returns the streams that run now, to be told to a new placer."""
+        """Returns the running streams, to be reported to a new placer."""
         with self._lock:
             return [
                 placing_messages.Run(
@@ -257,7 +264,7 @@
             ]
 
     def own_loads(self) -> dict[ids.EndpointId, messages.OthersLoad]:
-        """Returns what runs on endpoints by decisions made here."""
+        """Returns the load on endpoints from decisions made here."""
         with self._lock:
             return self._dispatcher.own_loads(self._clock.now_s())
 
@@ -266,21 +273,25 @@
         instance: ids.InstanceId,
         loads: dict[ids.EndpointId, messages.OthersLoad],
     ) -> None:
-        """Takes what another domain's placer has on endpoints."""
+        """Sets the load that another domain's placer has on endpoints."""
         with self._lock:
             self._dispatcher.set_others(instance, loads)
             lines = self._run_due()
         decision_lines.write(lines)
 
     def forget_others(self, instance: ids.InstanceId) -> None:
-        """Drops what a placer told that is heard of no longer."""
+        """Drops the load of a placer that no longer reports."""
         with self._lock:
             self._dispatcher.forget_others(instance)
             lines = self._run_due()
         decision_lines.write(lines)
 
     def take_run(self, run: placing_messages.Run) -> bool:
-        """Learns of a request that an entry of the domain has sent itself."""
+        """Adds a request that an entry of the domain placed by itself.
+
+        Returns:
+            False if its endpoint is not known.
+        """
         with self._lock:
             return self._dispatcher.take_run(
                 run.job,
@@ -299,7 +310,7 @@
                 decision_lines.Line(ticket.job, decision, ticket.job.attempts)
             )
             if isinstance(decision, messages.Placement):
-                self._tell_run(ticket.job, decision)
+                self._report_run(ticket.job, decision)
                 ticket.placed.set_result(decision)
             elif isinstance(decision, messages.Refusal):
                 del self._tickets[decision.request_id]
@@ -308,7 +319,7 @@
                 ticket.preempt(decision)
         return lines
 
-    def _tell_run(
+    def _report_run(
         self, job: messages.Job, placement: messages.Placement
     ) -> None:
         if job.streams:
@@ -317,17 +328,17 @@
             self._asking.ran(run)
 
 
-def _not_taken(decision: messages.Decision) -> str:
+def _not_applied(decision: messages.Decision) -> str:
     if isinstance(decision, messages.Placement):
-        return f"{decision.endpoint} takes no work by what is known here"
-    return f"the placer can't decide: {decision.detail}"
+        return f"{decision.endpoint} is not available to this entry"
+    return f"the placer could not decide: {decision.detail}"
 
 
 def _refused(
     job: messages.Job, refusal: messages.Refusal
 ) -> errors.RefusedError:
-    # A job that was placed before and is given up while it waits for another
-    # run may have run: only the first wait can end in "not run".
+    # A job that is refused while it waits for another attempt may have run
+    # before; only a refusal during the first wait means "not run".
     return errors.RefusedError(
         refusal.kind,
         refusal.detail,
--- a/cardamombarrow/entry/knowing.py
+++ b/cardamombarrow/entry/knowing.py
@@ -1,7 +1,7 @@
-"""A dispatcher behind a lock, its timer, and what it is told.
+"""Base of the broker: the locked dispatcher, its timer and its state updates.
 
-What an entry hears of documents, endpoints, loads and other instances comes
-here. `broker` adds what happens to requests.
+Updates of documents, endpoints, loads and other instances arrive here.
+`broker` adds the handling of requests.
 """
 
 import abc
@@ -26,9 +26,9 @@
 __all__ = ["EndpointView", "KnowingBroker"]
 
 SHARES_S = 0.25
-"""Time between two looks at this instance's slots.
+"""Interval at which this instance's slots are recomputed.
 
-Peers' demand and load reports come about once a second; four looks within
+Peers' demand and load reports arrive about once a second; four updates in
 that time follow them closely enough.
 """
 
@@ -38,12 +38,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class EndpointView:
-    """What one entry believes of an endpoint.
+    """The state of an endpoint as one entry knows it.
 
     Attributes:
         running: This entry's requests on it.
         share: Slots of it that this entry may use.
-        report_age_s: Age of its last load report; None without one.
+        report_age_s: Age of its last load report in seconds; None without one.
     """
 
     endpoint: ids.EndpointId
@@ -56,7 +56,7 @@
 
 
 class KnowingBroker(lifecycle.Part):
-    """A dispatcher that is told things from several threads."""
+    """A dispatcher whose state is updated from several threads."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
             whole_domain=whole_domain,
         )
         self._asking: asking_module.Asking = asking_module.NobodyAsked()
-        self._mirror: KnowingBroker | None = None
+        self._domain_broker: KnowingBroker | None = None
         self._dispatcher = core.Dispatcher(context, time_source.now_s())
         self._lock = threading.Lock()
         self._wake = threading.Condition(self._lock)
@@ -87,7 +87,7 @@
         self._stopped = False
         self._tickets: dict[ids.RequestId, ticket_module.Ticket] = {}
         self._thread = threading.Thread(
-            target=self._tick, name="broker", daemon=True
+            target=self._run_timer, name="broker", daemon=True
         )
 
     def start(self) -> None:
@@ -100,22 +100,22 @@
             self._stopped = True
             self._wake.notify()
         self._thread.join()
-        if self._mirror is not None:
-            self._mirror.stop()
+        if self._domain_broker is not None:
+            self._domain_broker.stop()
 
     def set_asking(self, asking: asking_module.Asking) -> None:
-        """Sets who is asked from now on."""
+        """Sets the placer to be asked from now on."""
         self._asking = asking
 
     def for_domain(self) -> "KnowingBroker":
         """Returns a started broker for all requests of the domain.
 
-        It is built at the first call, knows what this one knows of documents,
-        endpoints and quarantined requests, and is told what this one is told.
+        It is built at the first call from this broker's documents, endpoints
+        and quarantined requests, and receives the same updates afterwards.
         """
-        if self._mirror is None:
+        if self._domain_broker is None:
             context = self._context
-            mirror = type(self)(
+            domain_broker = type(self)(
                 context.document,
                 context.instance,
                 context.domain,
@@ -126,12 +126,12 @@
             )
             with self._lock:
                 now_s = self._clock.now_s()
-                mirror._dispatcher.learn_from(self._dispatcher, now_s)
-                self._mirror = mirror
-            mirror.start()
-        return self._mirror
+                domain_broker._dispatcher.learn_from(self._dispatcher, now_s)
+                self._domain_broker = domain_broker
+            domain_broker.start()
+        return self._domain_broker
 
-    def _tick(self) -> None:
+    def _run_timer(self) -> None:
         shares_s = self._clock.now_s()
         while self._sleep(shares_s):
             now_s = self._clock.now_s()
@@ -141,9 +141,9 @@
             try:
                 self._look(refresh, now_s)
             except Exception as error:
-                # Without its timer an entry would go on serving, but nobody
-                # who waits would be answered at a deadline.
-                logs.event("timer failed", "ERROR", detail=repr(error))
+                # Without the timer thread, waiting requests would get no
+                # answer at their deadlines while the entry goes on serving.
+                logs.event("broker timer failed", "ERROR", detail=repr(error))
                 time.sleep(SHARES_S)
 
     def _look(self, refresh: bool, now_s: float) -> None:
@@ -154,7 +154,7 @@
         decision_lines.write(lines)
 
     def _sleep(self, until_s: float) -> bool:
-        """Waits until something is due; returns False at the stop."""
+        """Waits until something is due; returns False once stopped."""
         with self._lock:
             while not self._stopped:
                 due_s = self._dispatcher.next_s()
@@ -166,13 +166,13 @@
             return False
 
     def _wake_if_earlier(self) -> None:
-        """Wakes the timer where what has come is due before its wake-up."""
+        """Wakes the timer if something is due before its next wake-up."""
         due_s = self._dispatcher.next_s()
         if due_s is not None and due_s < self._wake_s:
             self._wake.notify()
 
     def configure(self, document: schema.Document) -> None:
-        """Takes a newer document into force."""
+        """Puts a newer document into force."""
         with self._lock:
             self._context = dataclasses.replace(
                 self._context, document=document
@@ -180,25 +180,25 @@
             self._dispatcher.configure(document, self._clock.now_s())
             lines = self._run_due()
         decision_lines.write(lines)
-        if self._mirror is not None:
-            self._mirror.configure(document)
+        if self._domain_broker is not None:
+            self._domain_broker.configure(document)
 
     def set_found(self, found: tuple[messages.KnownEndpoint, ...]) -> None:
-        """Takes the endpoints that discovery knows."""
+        """Sets the endpoints found by discovery."""
         with self._lock:
             self._dispatcher.set_found(found, self._clock.now_s())
             lines = self._run_due()
         decision_lines.write(lines)
-        if self._mirror is not None:
-            self._mirror.set_found(found)
+        if self._domain_broker is not None:
+            self._domain_broker.set_found(found)
 
     def set_instances(self, count: int) -> None:
-        """Learns how many instances share what is bounded over all."""
+        """Sets the number of instances that share the global bounds."""
         with self._lock:
             self._dispatcher.set_instances(count)
 
     def views(self) -> list[EndpointView]:
-        """Returns what is believed of each endpoint, for operators."""
+        """Returns the known state of each endpoint, for operators."""
         now_s = self._clock.now_s()
         with self._lock:
             return [
@@ -217,43 +217,43 @@
             ]
 
     def has_endpoints(self) -> bool:
-        """Tells whether any endpoint is known."""
+        """Returns whether any endpoint is known."""
         with self._lock:
             return bool(self._dispatcher.endpoints())
 
     def report(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
-        """Takes an endpoint's load report."""
+        """Records an endpoint's load report."""
         with self._lock:
             self._dispatcher.report(endpoint, report)
-        if self._mirror is not None:
-            self._mirror.report(endpoint, report)
+        if self._domain_broker is not None:
+            self._domain_broker.report(endpoint, report)
 
     def answer_load(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
-        """Takes the load that came with an endpoint's answer."""
+        """Records a load report that came with an endpoint's answer."""
         self.report(endpoint, report)
         self._asking.loaded(endpoint, report)
 
     def answer_rate_limit(
         self, endpoint: ids.EndpointId, limit: messages.RateLimit
     ) -> None:
-        """Takes what an endpoint's answer states of the rate it takes."""
-        self._hear_rate_limit(endpoint, limit, _ANSWER)
+        """Records the rate limit that an endpoint's answer states."""
+        self._record_rate_limit(endpoint, limit, _ANSWER)
 
     def hear_rate_limit(
         self, endpoint: ids.EndpointId, limit: messages.RateLimit, source: str
     ) -> bool:
-        """Takes what another instance says of an endpoint's limit.
+        """Records an endpoint's rate limit that another instance reports.
 
         Returns:
-            Whether that is news.
+            Whether the limit changed.
         """
-        return self._hear_rate_limit(endpoint, limit, source)
+        return self._record_rate_limit(endpoint, limit, source)
 
-    def _hear_rate_limit(
+    def _record_rate_limit(
         self, endpoint: ids.EndpointId, limit: messages.RateLimit, source: str
     ) -> bool:
         with self._lock:
@@ -262,8 +262,8 @@
             )
         if before is None:
             return False
-        if self._mirror is not None:
-            self._mirror.rate_limit_changed(endpoint)
+        if self._domain_broker is not None:
+            self._domain_broker.rate_limit_changed(endpoint)
         logs.decision(
             "rate limit",
             endpoint=endpoint,
@@ -276,19 +276,19 @@
         return True
 
     def rate_limit_changed(self, endpoint: ids.EndpointId) -> None:
-        """Looks again at an endpoint whose limit has changed."""
+        """Re-evaluates an endpoint whose rate limit has changed."""
         with self._lock:
             self._dispatcher.rate_limit_changed(endpoint)
 
     def rate_limits_to_tell(self) -> dict[ids.EndpointId, messages.RateLimit]:
-        """Returns what others of the domain are told of endpoints' limits."""
+        """Returns the rate limits to be reported to the domain's instances."""
         return self._context.rate_limits.to_tell(self._clock.now_s())
 
     def set_delegate(self, is_delegate: bool) -> None:
-        """Learns whether this instance spends its domain's parts of limits."""
+        """Sets whether this instance uses its domain's share of rate limits."""
         if self._context.rate_limits.set_delegate(is_delegate):
             logs.event(
-                "rate limits are spent"
+                "rate limits are managed"
                 + (" here" if is_delegate else " by another instance")
             )
 
@@ -297,11 +297,11 @@
         return self._context.rate_limits.count()
 
     def set_leaving(self, endpoint: ids.EndpointId, leaving: bool) -> None:
-        """Takes the word that an endpoint leaves, or is back."""
+        """Marks an endpoint as leaving, or as available again."""
         with self._lock:
             self._dispatcher.set_leaving(endpoint, leaving)
-        if self._mirror is not None:
-            self._mirror.set_leaving(endpoint, leaving)
+        if self._domain_broker is not None:
+            self._domain_broker.set_leaving(endpoint, leaving)
 
     def in_flight(self, endpoint: ids.EndpointId) -> list[messages.Job]:
         """Returns the jobs that run on an endpoint now."""
@@ -316,18 +316,18 @@
     def crashed(
         self, endpoint: ids.EndpointId, suspects: list[messages.Job]
     ) -> None:
-        """Tells that an endpoint died while these jobs ran on it."""
+        """Records that an endpoint crashed while these jobs ran on it."""
         with self._lock:
             now_s = self._clock.now_s()
             self._dispatcher.crashed(endpoint, suspects, now_s)
 
     def demand(self) -> messages.PeerDemand:
-        """Returns what this instance asks for, to be gossiped."""
+        """Returns this instance's demand, to be gossiped."""
         with self._lock:
             return self._dispatcher.demand(self._clock.now_s())
 
     def peer(self, demand: messages.PeerDemand) -> None:
-        """Takes another instance's demand."""
+        """Records another instance's demand."""
         with self._lock:
             self._dispatcher.peer(demand)
 
@@ -337,28 +337,28 @@
             self._dispatcher.forget_peer(instance)
 
     def kept_news(self) -> list[messages.KeptNews]:
-        """Returns what is new about engines' caches, for the others."""
+        """Returns changes in engines' caches, to be sent to other instances."""
         with self._lock:
             return self._dispatcher.kept_news(self._clock.now_s())
 
     def hear_kept(self, news: list[messages.KeptNews]) -> None:
-        """Takes what other instances know of engines' caches."""
+        """Records changes in engines' caches that other instances report."""
         with self._lock:
             self._dispatcher.hear_kept(news, self._clock.now_s())
-        if self._mirror is not None:
-            self._mirror.hear_kept(news)
+        if self._domain_broker is not None:
+            self._domain_broker.hear_kept(news)
 
     def quarantine_marks(self) -> dict[ids.Fingerprint, float]:
-        """Returns quarantined fingerprints and seconds left, for gossip."""
+        """Returns quarantined fingerprints and their seconds left."""
         with self._lock:
             return self._dispatcher.quarantine_marks(self._clock.now_s())
 
     def merge_quarantine(self, marks: dict[ids.Fingerprint, float]) -> None:
-        """Takes fingerprints that another instance quarantined."""
+        """Adds fingerprints that another instance quarantined."""
         with self._lock:
             self._dispatcher.merge_quarantine(marks, self._clock.now_s())
-        if self._mirror is not None:
-            self._mirror.merge_quarantine(marks)
+        if self._domain_broker is not None:
+            self._domain_broker.merge_quarantine(marks)
 
     @abc.abstractmethod
     def _run_due(self) -> list[decision_lines.Line]:
--- a/cardamombarrow/entry/placer.py
+++ b/cardamombarrow/entry/placer.py
@@ -1,8 +1,8 @@
-"""Places the requests of a whole domain: the side that is asked.
+"""Places the requests of all entries of a domain: the answering side.
 
-Each entry that asks is an owner. What it has asked and what it has running is
-kept by owner, so that nothing is left behind when one is gone: a place that is
-never given back would look taken until a restart.
+Each connected entry is an owner. Its questions and running requests are stored
+per owner, so that all of them can be released when the entry disconnects: a
+slot that is never released would look taken until a restart.
 """
 
 from collections import abc
@@ -18,8 +18,8 @@
 __all__ = ["Owner", "Placer"]
 
 MOST_OPEN = 1_024
-"""Requests that one owner may have waiting or running here: twice the
-connections that an entry serves at once."""
+"""Maximum of waiting and running requests per owner: twice the connections
+that an entry serves at once."""
 
 Send = abc.Callable[[placing_messages.Answer | placing_messages.Waits], None]
 
@@ -28,9 +28,9 @@
     """An entry whose requests are placed here.
 
     Attributes:
-        epoch: Grows with each stream that the instance opens.
-        tickets: Its requests that wait or run by a decision made here.
-        runs: Its requests that run by a decision of its own.
+        epoch: Increases with each stream that the instance opens.
+        tickets: Its requests that wait here or run by a decision made here.
+        runs: Its requests that run by a decision of the entry itself.
     """
 
     def __init__(self, instance: ids.InstanceId, epoch: int, send: Send):
@@ -42,12 +42,12 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether it has as many requests here as it may have."""
+        """Whether it has the maximum number of requests here."""
         return len(self.tickets) + len(self.runs) >= MOST_OPEN
 
 
 class Placer:
-    """Decides for all owners; every method runs on the loop thread."""
+    """Decides for all owners; all methods run on the loop thread."""
 
     def __init__(
         self,
@@ -57,9 +57,9 @@
         """Builds the placer.
 
         Args:
-            broker: Returns the broker for the whole domain; it is built when
-                the first owner comes.
-            post: Has something done on the loop thread.
+            broker: Returns the broker for the whole domain; called when the
+                first owner joins.
+            post: Schedules a call on the loop thread.
         """
         self._open_broker = broker
         self._post = post
@@ -68,16 +68,16 @@
 
     @property
     def owners(self) -> int:
-        """Counts the entries that ask here."""
+        """The number of connected entries."""
         return len(self._owners)
 
     def join(
         self, instance: ids.InstanceId, epoch: int, send: Send
     ) -> Owner | None:
-        """Takes an entry; None where a later stream of it is here already.
+        """Adds an entry; returns None if a later stream of it is connected.
 
-        A link that went silent may not have ended when its entry is back over
-        another one, which tells anew what runs.
+        A silent link may still be open when its entry has reconnected. The new
+        stream reports all running requests again.
         """
         known = self._owners.get(instance)
         if known is not None:
@@ -88,11 +88,15 @@
             self._broker = self._open_broker()
         owner = Owner(instance, epoch, send)
         self._owners[instance] = owner
-        logs.event("places for", instance=instance, owners=len(self._owners))
+        logs.event(
+            "entry joined placer",
+            instance=instance,
+            owners=len(self._owners),
+        )
         return owner
 
     def leave(self, owner: Owner) -> None:
-        """Drops an entry that is gone, or decides elsewhere, and all it had."""
+        """Removes an entry that disconnected, and all its requests."""
         if self._owners.get(owner.instance) is not owner:
             return
         del self._owners[owner.instance]
@@ -101,16 +105,16 @@
             self.withdrawn(owner, request_id)
         for request_id in list(owner.runs):
             self.ended(owner, request_id, messages.Outcome.CALLER_GONE, 0)
-        logs.event("places no more for", instance=owner.instance, held=held)
+        logs.event("entry left placer", instance=owner.instance, held=held)
 
     def question(self, owner: Owner, job: messages.Job) -> None:
-        """Takes a question; the answer goes to the owner."""
+        """Handles a question; the answer is sent to the owner."""
         refusal = None
         if owner.is_full or job.request_id in owner.tickets:
             refusal = messages.Refusal(
                 job.request_id,
                 errors.ErrorKind.NOT_READY,
-                f"{len(owner.tickets)} requests of the instance are here",
+                f"{len(owner.tickets)} requests of the entry are at the placer",
                 None,
             )
         else:
@@ -146,14 +150,14 @@
         owner.send(answer)
 
     def run(self, owner: Owner, run: placing_messages.Run) -> None:
-        """Learns of a request that its entry has sent by its own decision."""
+        """Records a request that its entry placed by its own decision."""
         if owner.is_full or run.job.request_id in owner.tickets:
             return
         if self._broker.take_run(run):
             owner.runs.add(run.job.request_id)
 
     def begun(self, owner: Owner, request_id: ids.RequestId) -> None:
-        """Learns that a request's first event came."""
+        """Records that a request's first event has arrived."""
         if request_id in owner.tickets or request_id in owner.runs:
             self._broker.first_token(request_id)
 
@@ -164,7 +168,7 @@
         outcome: messages.Outcome,
         tokens: int,
     ) -> None:
-        """Learns that a request has left its endpoint."""
+        """Records that a request's run on its endpoint has ended."""
         if request_id in owner.runs:
             owner.runs.discard(request_id)
         else:
@@ -180,7 +184,7 @@
         self._broker.finish(request_id, outcome)
 
     def withdrawn(self, owner: Owner, request_id: ids.RequestId) -> None:
-        """Learns that an entry does not want an answer any longer."""
+        """Withdraws a request that its entry no longer wants placed."""
         ticket = owner.tickets.pop(request_id, None)
         if ticket is None:
             return
@@ -189,7 +193,7 @@
         self._broker.withdraw(ticket)
 
     def own_loads(self) -> dict[ids.EndpointId, messages.OthersLoad]:
-        """Returns what runs by decisions made here; empty without owners."""
+        """Returns the load from decisions made here; empty without owners."""
         return self._broker.own_loads() if self._owners else {}
 
     def set_others(
@@ -197,19 +201,19 @@
         instance: ids.InstanceId,
         loads: dict[ids.EndpointId, messages.OthersLoad],
     ) -> None:
-        """Takes what the placer of another domain has on endpoints."""
+        """Sets the load that another domain's placer has on endpoints."""
         if self._broker is not None:
             self._broker.set_others(instance, loads)
 
     def forget_others(self, instance: ids.InstanceId) -> None:
-        """Drops what a placer told that is heard of no longer."""
+        """Drops the load of a placer that no longer reports."""
         if self._broker is not None:
             self._broker.forget_others(instance)
 
     def loaded(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
-        """Takes what an answer to some entry said of its endpoint's load."""
+        """Records the load report that came with an answer to an entry."""
         self._broker.report(endpoint, report)
 
 
--- a/cardamombarrow/entry/ticket.py
+++ b/cardamombarrow/entry/ticket.py
@@ -1,4 +1,4 @@
-"""A request's side of the decisions on it."""
+"""Handle with which a request's thread waits for decisions on its job."""
 
 from collections import abc
 from concurrent import futures
@@ -11,12 +11,12 @@
 
 @dataclasses.dataclass
 class Ticket:
-    """A request's side of its job.
+    """A submitted job and the decisions on it.
 
     Attributes:
-        placed: Resolves with a placement, or fails with the refusal.
-        preempted: Set when the running request must give way.
-        on_preempted: Called with it, if set; must return at once.
+        placed: Resolves with the placement, or fails with the refusal.
+        preempted: Set when the running request is preempted.
+        on_preempted: Called with the preemption; must return immediately.
     """
 
     job: messages.Job
@@ -25,7 +25,7 @@
     on_preempted: abc.Callable[[messages.Preemption], None] | None = None
 
     def preempt(self, preemption: messages.Preemption) -> None:
-        """Has the running request give way."""
+        """Preempts the running request."""
         self.preempted = preemption
         if self.on_preempted is not None:
             self.on_preempted(preemption)
