--- a/cardamombarrow/entry/caller.py
+++ b/cardamombarrow/entry/caller.py
@@ -1,4 +1,4 @@
-"""The caller's side of a connection: is anybody still there?"""
+"""Detects that a caller has closed its connection."""
 
 import select
 import socket
@@ -11,9 +11,9 @@
 class SocketWatch(base.CallerWatch):
     """Watches the socket that werkzeug serves.
 
-    A caller that has left is seen by the end of its half of the connection.
-    Clients that close only their sending half while they wait for an answer
-    count as gone, too; `docs/entry.md` says so.
+    A caller counts as gone once it closes its sending half of the connection.
+    This includes clients that half-close while they wait for an answer, as
+    `docs/entry.md` states.
     """
 
     def __init__(self, connection: socket.socket):
--- a/cardamombarrow/entry/crashes.py
+++ b/cardamombarrow/entry/crashes.py
@@ -1,11 +1,11 @@
-"""Tells crashes of endpoints from mere losses of a connection.
-
-When an endpoint's process dies, all its connections break at once and each
-request's thread sees only its own. The first one to see it takes down what was
-in flight there and probes the endpoint over a new connection; the others wait
-for what it finds. Without this each broken connection would count as a crash
-of its own, and a request that was alone on a broken link as one that crashes
-endpoints.
+"""Distinguishes endpoint crashes from lost connections.
+
+When an endpoint's process dies, all its connections break at once, and each
+request's thread sees only its own. The first thread records which requests
+were in flight and probes the endpoint over a new connection; the others wait
+for the result. Without this each broken connection would count as a separate
+crash, and a request that was alone on a broken link would be suspected of
+crashing endpoints.
 """
 
 from concurrent import futures
@@ -22,14 +22,20 @@
 __all__ = ["Crashes"]
 
 SAME_DEATH_S = 1.0
-"""A connection that breaks this soon after a death was looked into belongs to
-it: its thread was only late to notice."""
+"""A connection that breaks within this time after a probe that found a crash is
+attributed to the same crash: its thread noticed it late."""
 
-_DEATHS = (errors.ErrorKind.ENDPOINT_FAILED, errors.ErrorKind.ANSWER_CUT)
+_CRASH_ERRORS = (errors.ErrorKind.ENDPOINT_FAILED, errors.ErrorKind.ANSWER_CUT)
 
 
-class _Death:
-    """A broken connection that is being looked into."""
+class _Probe:
+    """A probe of an endpoint after a broken connection.
+
+    Attributes:
+        suspects: The requests that were in flight, by id.
+        settled: Resolves with whether the endpoint crashed.
+        settled_s: When the probe ended; None before.
+    """
 
     def __init__(self, suspects: list[messages.Job]):
         self.suspects = {job.request_id: job for job in suspects}
@@ -37,19 +43,19 @@
         self.settled_s: float | None = None
 
     def covers(self, now_s: float) -> bool:
-        """Whether a connection that breaks now belongs to this death."""
+        """Returns whether a connection that breaks now has the same cause."""
         if self.settled_s is None:
             return True
         return self.settled.result() and now_s < self.settled_s + SAME_DEATH_S
 
 
 class Crashes:
-    """Looks into broken connections, one endpoint at a time."""
+    """Probes endpoints after broken connections, one probe per endpoint."""
 
     def __init__(self, broker: broker_module.Broker):
         self._broker = broker
         self._lock = threading.Lock()
-        self._open: dict[ids.EndpointId, _Death] = {}
+        self._probes: dict[ids.EndpointId, _Probe] = {}
 
     def on_failure(
         self,
@@ -58,20 +64,20 @@
         error: errors.EndpointError,
         kind: endpoints_base.EndpointKind,
     ) -> None:
-        """Learns how a request failed; call before its slot is released."""
+        """Handles a failed request; call before its slot is released."""
         if error.kind is errors.ErrorKind.ENDPOINT_UNREACHED:
             self._on_unreached(endpoint, job)
-        elif error.kind in _DEATHS and error.broke:
+        elif error.kind in _CRASH_ERRORS and error.broke:
             self._on_broken(endpoint, job, kind)
 
     def _on_unreached(
         self, endpoint: ids.EndpointId, job: messages.Job
     ) -> None:
         with self._lock:
-            death = self._open.get(endpoint)
-            if death is not None and death.settled_s is None:
-                # It was placed there, but never arrived.
-                death.suspects.pop(job.request_id, None)
+            probe = self._probes.get(endpoint)
+            if probe is not None and probe.settled_s is None:
+                # The request was placed there but never reached the endpoint.
+                probe.suspects.pop(job.request_id, None)
 
     def _on_broken(
         self,
@@ -80,28 +86,28 @@
         kind: endpoints_base.EndpointKind,
     ) -> None:
         with self._lock:
-            death = self._open.get(endpoint)
-            first = death is None or not death.covers(time.monotonic())
+            probe = self._probes.get(endpoint)
+            first = probe is None or not probe.covers(time.monotonic())
             if first:
-                death = _Death(self._broker.in_flight(endpoint))
-                self._open[endpoint] = death
-            death.suspects[job.request_id] = job
+                probe = _Probe(self._broker.in_flight(endpoint))
+                self._probes[endpoint] = probe
+            probe.suspects[job.request_id] = job
         if first:
-            self._look_into(endpoint, death, kind)
+            self._run_probe(endpoint, probe, kind)
         else:
-            futures.wait([death.settled], 2 * endpoints_base.PROBE_TIMEOUT_S)
+            futures.wait([probe.settled], 2 * endpoints_base.PROBE_TIMEOUT_S)
 
-    def _look_into(
+    def _run_probe(
         self,
         endpoint: ids.EndpointId,
-        death: _Death,
+        probe: _Probe,
         kind: endpoints_base.EndpointKind,
     ) -> None:
         crashed = not kind.probe(endpoint)
         with self._lock:
-            suspects = list(death.suspects.values())
-            death.settled_s = time.monotonic()
-            death.settled.set_result(crashed)
+            suspects = list(probe.suspects.values())
+            probe.settled_s = time.monotonic()
+            probe.settled.set_result(crashed)
         logs.event(
             "connection broke",
             "WARNING",
--- a/cardamombarrow/entry/gate.py
+++ b/cardamombarrow/entry/gate.py
@@ -1,12 +1,12 @@
-"""How many requests an entry holds at once, by tier and by workspace.
-
-Each request keeps a thread from its first byte to its last, and most of that
-time it waits. Without a bound a flood of one low tier's requests, all waiting
-in the queue, takes every thread; a higher tier's request then can't even be
-read, so no decision about it can be made. The bound is trunk reservation: a
-tier may enter while the requests held, of whatever tier, are under its share
-of the threads. The lowest tier has the smallest share, so it is refused first
-and the threads above it are left for the higher tiers.
+"""Limits the concurrent requests of an entry, by tier and by workspace.
+
+Each request occupies a thread from its first byte to its last, and waits most
+of that time. Without a bound, a flood of low-tier requests in the queue would
+take every thread, and a higher tier's request could not even be read. The
+bound is trunk reservation: a tier's request is admitted while the number of
+requests held, of all tiers, is below the tier's share of the threads. The
+lowest tier has the smallest share, so it is refused first and the remaining
+threads are left to the higher tiers.
 """
 
 import collections
@@ -21,17 +21,18 @@
 __all__ = ["HIGHEST_SHARE", "LOWEST_SHARE", "Gate"]
 
 LOWEST_SHARE = 0.5
-"""Share of the threads up to which the lowest tier may enter."""
+"""Share of the threads up to which the lowest tier is admitted."""
 
 HIGHEST_SHARE = 0.9
-"""The same for the highest tier; the rest reads and refuses requests."""
+"""The same for the highest tier; the remaining threads only read and refuse
+requests."""
 
 RETRY_AFTER_S = (1.0, 3.0)
-"""Bounds between which refused callers' return is spread evenly."""
+"""Bounds of the uniformly distributed retry delay of refused callers."""
 
 
 class Gate:
-    """Counts the requests that are held, and refuses those over a bound."""
+    """Counts concurrent requests and refuses those over a bound."""
 
     def __init__(self, connections: int, rng: random.Random):
         self._connections = connections
@@ -44,14 +45,14 @@
 
     @property
     def held(self) -> int:
-        """Requests that are held now."""
+        """The number of requests held now."""
         return self._held
 
     def enter(self, job: messages.Job, document: schema.Document) -> None:
-        """Lets a request in; `leave` must follow.
+        """Admits a request; `leave` must be called at its end.
 
         Raises:
-            errors.RefusedError: The tier's or the workspace's bound is met.
+            errors.RefusedError: The tier's or the workspace's bound is reached.
         """
         bound = self._bound(job.rank, document)
         workspace = document.workspaces.get(job.workspace)
@@ -60,7 +61,7 @@
             if self._held >= bound:
                 raise self._refusal(
                     errors.ErrorKind.OVERLOADED,
-                    f"{self._held} requests are held; the tier enters under "
+                    f"{self._held} requests are held; the tier's limit is "
                     f"{bound}",
                 )
             own = self._by_workspace[job.workspace]
@@ -73,7 +74,7 @@
             self._by_workspace[job.workspace] += 1
 
     def leave(self, job: messages.Job) -> None:
-        """Counts a request out."""
+        """Removes a request from the counts."""
         with self._lock:
             self._held -= 1
             self._by_workspace[job.workspace] -= 1
@@ -81,8 +82,8 @@
                 del self._by_workspace[job.workspace]
 
     def _bound(self, rank: int, document: schema.Document) -> int:
-        # The rank may be one of the edition before, which has gone out of
-        # force since the request was read: it is not looked up.
+        # The rank may belong to an edition that was replaced since the request
+        # was read, so it can't be looked up in this document.
         ranks = {tier.rank for tier in document.tiers.values()}
         above = sum(each < rank for each in ranks) / max(1, len(ranks) - 1)
         share = HIGHEST_SHARE - (HIGHEST_SHARE - LOWEST_SHARE) * min(above, 1.0)
--- a/cardamombarrow/entry/life.py
+++ b/cardamombarrow/entry/life.py
@@ -1,7 +1,7 @@
-"""The life of one request, written straight down.
+"""Handling of one request, from admission to settlement.
 
-claim (if unrepeatable) -> wait for a place -> send -> relay -> settle. The
-thread that serves the caller's connection runs all of it.
+claim (if unrepeatable) -> wait for a placement -> send -> relay -> settle. All
+of it runs on the thread that serves the caller's connection.
 """
 
 from collections import abc
@@ -28,22 +28,22 @@
 __all__ = ["Life", "LifeServices", "Relay"]
 
 CALLER_LOOK_S = 0.25
-"""Time between two looks at whether a waiting caller is still there."""
+"""Interval at which a waiting caller's connection is checked."""
 
 TAIL_BYTES = 512
-"""End of the answer that is kept to tell whether it is whole, and how many
-tokens it had."""
+"""Size of the answer's tail that is buffered to determine whether the answer is
+complete and how many tokens it had."""
 
-_FINAL = (errors.ErrorKind.CALLER_GONE, errors.ErrorKind.DEADLINE)
-"""What no second run can mend."""
+_NOT_RETRIED = (errors.ErrorKind.CALLER_GONE, errors.ErrorKind.DEADLINE)
+"""Errors after which a request is not retried."""
 
 
 @dataclasses.dataclass(frozen=True)
 class LifeServices:
-    """What every request's life needs.
+    """Dependencies shared by all requests.
 
     Attributes:
-        kinds: How each kind of service's endpoints are spoken to.
+        kinds: The endpoint protocol of each kind of service.
     """
 
     broker: broker_module.Broker
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass
 class Relay:
-    """An answer on its way.
+    """An answer that is being relayed.
 
     Attributes:
         chunks: The body; it must be iterated to its end or closed.
@@ -69,7 +69,13 @@
 
 @dataclasses.dataclass
 class _Run:
-    """One run on an endpoint whose answer has begun."""
+    """One run on an endpoint whose answer has begun.
+
+    Attributes:
+        first: The first piece of the body; the whole body of a short answer.
+        rest: The pieces that follow.
+        settled: Whether the run's outcome has been recorded.
+    """
 
     ticket: ticket_module.Ticket
     exchange: endpoints_base.Exchange
@@ -100,7 +106,7 @@
         self._relaying = False
 
     def left_s(self) -> float:
-        """Returns the time that is left until the request's deadline."""
+        """Returns the time until the request's deadline, in seconds."""
         return self._call.job.deadline_s - self._services.time_source.now_s()
 
     def run(self) -> Relay:
@@ -110,8 +116,8 @@
             The answer's head, and its body still to be relayed.
 
         Raises:
-            errors.RouterError: It was refused or failed; `not_run` tells
-                whether it may have run.
+            errors.RouterError: It was refused or failed; `not_run` is True if
+                it has certainly not run.
         """
         ticket = self._services.broker.submit(self._call.job)
         run = self._begin(ticket)
@@ -129,8 +135,8 @@
             try:
                 exchange = self._open(ticket)
             except BaseException:
-                # Kept, the slot would be lost to this instance for good; some
-                # such requests and the endpoint would look full while idle.
+                # Without this the slot would never be released, and after
+                # some failures the endpoint would look full while idle.
                 self._services.broker.finish(
                     ticket.job.request_id, messages.Outcome.NOT_STARTED
                 )
@@ -142,7 +148,7 @@
             except errors.RouterError as error:
                 exchange.close()
                 self._fail(ticket, error)
-                ticket = self._again(ticket, error)
+                ticket = self._retry(ticket, error)
             except BaseException:
                 exchange.close()
                 self._services.broker.finish(
@@ -150,17 +156,17 @@
                 )
                 raise
             else:
-                again = self._redo_failure(run)
-                if again is None:
+                new_ticket = self._redo_failure(run)
+                if new_ticket is None:
                     return run
-                ticket = again
+                ticket = new_ticket
 
     def _redo_failure(self, run: _Run) -> ticket_module.Ticket | None:
-        """Queues a request again that its endpoint answered with a failure.
+        """Queues a request again after a failure answer of its endpoint.
 
         Returns:
-            None where that is not allowed; the failure then goes to the
-            caller as the endpoint gave it.
+            The ticket of the new attempt; None if no retry is allowed, and
+            the endpoint's failure answer is relayed to the caller unchanged.
         """
         ticket = run.ticket
         run.exchange.release()
@@ -168,18 +174,18 @@
         error = pieces.failure_of(run.head)
         outcome = messages.Outcome.FAILURE_ANSWERED
         self._settle(ticket, error, outcome)
-        again = self._services.broker.resubmit(ticket, outcome)
-        if again is None:
+        new_ticket = self._services.broker.resubmit(ticket, outcome)
+        if new_ticket is None:
             run.settled = True
-        return again
+        return new_ticket
 
     def _first_piece(
         self, ticket: ticket_module.Ticket, exchange: endpoints_base.Exchange
     ) -> _Run:
         """Waits for the first piece of the body.
 
-        Until then nothing has gone to the caller, and a request whose
-        endpoint fails can still be redone.
+        Until then nothing has been sent to the caller, and a request whose
+        endpoint fails can still be retried.
         """
         head = exchange.head()
         self._take_load(ticket, head)
@@ -196,8 +202,8 @@
         if self._kind.failed(head) and not self._kind.relays_failures:
             raise pieces.failure_of(head)
         if self._relaying and not (head.status == 200 and head.streams):
-            # The head of the answer is out: what is no stream would be read
-            # as the stream's next events.
+            # The head of the stream has been sent: any other answer would be
+            # read as the stream's next events.
             raise pieces.failure_of(head)
         resumable = (
             self._kind.resumable(head)
@@ -290,16 +296,16 @@
             fetch_from=placement.fetch and placement.fetch.source,
         )
 
-    def _again(
+    def _retry(
         self, ticket: ticket_module.Ticket, error: errors.RouterError
     ) -> ticket_module.Ticket:
         outcome = pieces.OUTCOMES[error.kind]
-        if error.kind in _FINAL:
+        if error.kind in _NOT_RETRIED:
             raise error
-        again = self._services.broker.resubmit(ticket, outcome)
-        if again is None:
+        new_ticket = self._services.broker.resubmit(ticket, outcome)
+        if new_ticket is None:
             raise error
-        return again
+        return new_ticket
 
     def _relay(self, run: _Run) -> abc.Iterator[bytes]:
         try:
@@ -310,7 +316,7 @@
                 except errors.RouterError as error:
                     run = self._resume(run, error)
         except errors.RouterError as error:
-            # Only now is it known that no resumed run makes use of them.
+            # Until here a resumed run could still have used these tokens.
             self._services.metrics.wasted(
                 pieces.OUTCOMES[error.kind], self._progress.tokens
             )
@@ -321,17 +327,17 @@
             raise
 
     def _resume(self, run: _Run, error: errors.RouterError) -> _Run:
-        """Goes on with an answer that broke off, or raises `error`."""
+        """Resumes an answer that was cut off, or raises `error`."""
         if not run.resumable or not self._progress.tokens:
             raise error
-        again = self._begin(self._again(run.ticket, error))
+        resumed = self._begin(self._retry(run.ticket, error))
         logs.decision(
             "resume",
             request_id=self._call.job.request_id,
             tokens=self._progress.tokens,
             reason=error.detail,
         )
-        return again
+        return resumed
 
     def _relay_run(self, run: _Run) -> abc.Iterator[bytes]:
         if run.settled:
--- a/cardamombarrow/entry/once.py
+++ b/cardamombarrow/entry/once.py
@@ -1,8 +1,8 @@
 """Runs an unrepeatable request at most once, by a claim in the ledger.
 
-The claim is committed by a quorum before any byte of the request is sent.
-If this instance dies afterwards, the claim stands and a resend is told that
-the outcome is unknown, instead of running the request a second time.
+The claim is committed by a quorum before any byte of the request is sent. If
+this instance crashes afterwards, the claim remains, and a resend is answered
+with "outcome unknown" instead of running the request a second time.
 """
 
 from collections import abc
@@ -21,11 +21,12 @@
 __all__ = ["run_once"]
 
 STORED_ANSWER_LIMIT_BYTES = 16_384
-"""Larger answers are not stored; a resend is told that it did run."""
+"""Larger answers are not stored; a resend is answered with an error that says
+that the request ran."""
 
 SETTLE_MARGIN_S = 5.0
-"""Time after a request's deadline in which its claim is settled: the answer's
-end and a try to settle fit in it."""
+"""Time after a request's deadline in which its claim is settled; long enough
+for the end of the answer and one attempt to settle."""
 
 IN_FLIGHT_RETRY_S = 1.0
 FULL_RETRY_S = 60.0
@@ -33,7 +34,7 @@
 _REFUSALS = {
     machine.VerdictKind.IN_FLIGHT: (
         errors.ErrorKind.KEY_IN_FLIGHT,
-        "a request with this key is under way",
+        "a request with this key is in flight",
     ),
     machine.VerdictKind.UNKNOWN: (
         errors.ErrorKind.OUTCOME_UNKNOWN,
@@ -41,11 +42,11 @@
     ),
     machine.VerdictKind.REUSED: (
         errors.ErrorKind.KEY_REUSED,
-        "this key was used with another request",
+        "this key was already used with a different request",
     ),
     machine.VerdictKind.WITHDRAWN: (
         errors.ErrorKind.NO_QUORUM,
-        "this attempt was given up",
+        "this attempt was withdrawn",
     ),
     machine.VerdictKind.FULL: (
         errors.ErrorKind.OVERLOADED,
@@ -65,11 +66,11 @@
     ledger: ledger_client.LedgerClient,
     instance: ids.InstanceId,
 ) -> life.Relay:
-    """Claims the request's key, runs it, and records how it ended.
+    """Claims the request's key, runs the request and records its outcome.
 
     Raises:
-        errors.RouterError: See `life.Life.run`; besides, the key may be in
-            flight, of unknown outcome, or used with another body.
+        errors.RouterError: See `life.Life.run`. Also raised if the key is in
+            flight, has an unknown outcome or was used with another body.
     """
     if not call.idempotency_key:
         raise errors.RefusedError(
@@ -86,7 +87,7 @@
         verdict=verdict.kind.value,
     )
     if verdict.kind is machine.VerdictKind.ANSWERED:
-        return _stored(verdict.claim)
+        return _stored_relay(verdict.claim)
     if verdict.kind is not machine.VerdictKind.RUN:
         raise errors.RefusedError(
             *_REFUSALS[verdict.kind],
@@ -100,7 +101,7 @@
             state = machine.ClaimState.NOT_RUN
         ledger.record(key, dataclasses.replace(claim, state=state))
         raise
-    chunks = _recorded(relay, ledger, key, claim)
+    chunks = _relay_and_settle(relay, ledger, key, claim)
     return life.Relay(relay.head, chunks)
 
 
@@ -117,11 +118,11 @@
     )
 
 
-def _stored(claim: machine.Claim) -> life.Relay:
+def _stored_relay(claim: machine.Claim) -> life.Relay:
     if not claim.status:
         raise errors.RefusedError(
             errors.ErrorKind.OUTCOME_UNKNOWN,
-            "the request ran to its end; its answer was not kept",
+            "the request completed, but its answer was not stored",
         )
     head = endpoints_base.Head(
         claim.status, {"content-type": claim.content_type}
@@ -129,57 +130,58 @@
     return life.Relay(head, iter([claim.answer]))
 
 
-def _recorded(
+def _relay_and_settle(
     relay: life.Relay,
     ledger: ledger_client.LedgerClient,
     key: str,
     claim: machine.Claim,
 ) -> abc.Iterator[bytes]:
-    """Relays an answer and settles the claim before its end is out.
+    """Relays an answer and settles the claim before the answer's end is sent.
 
-    A caller who has the whole answer may send the key again at once, through
-    another entry, and must find the answer there. A stream ends only after
-    this generator; of any other answer the last chunk is held back.
+    A caller that has the complete answer may immediately resend the key to
+    another entry, and must get the stored answer there. A stream ends only
+    after this generator does; for other answers the last chunk is delayed
+    until the claim is settled.
     """
-    kept = _Kept()
-    held = b""
+    stored = _StoredAnswer()
+    delayed = b""
     outcome = dataclasses.replace(claim, state=machine.ClaimState.UNKNOWN)
     try:
         for chunk in relay.chunks:
-            kept.add(chunk)
+            stored.add(chunk)
             if relay.head.streams:
                 yield chunk
             else:
-                if held:
-                    yield held
-                held = chunk
+                if delayed:
+                    yield delayed
+                delayed = chunk
         outcome.state = machine.ClaimState.ANSWERED
-        if kept.whole:
+        if stored.complete:
             outcome.status = relay.head.status
             outcome.content_type = relay.head.headers.get("content-type", "")
-            outcome.answer = b"".join(kept.chunks)
+            outcome.answer = b"".join(stored.chunks)
     finally:
         relay.chunks.close()
         ledger.record(key, outcome)
-    if held:
-        yield held
+    if delayed:
+        yield delayed
 
 
-class _Kept:
-    """The answer so far, as long as it is small enough to store."""
+class _StoredAnswer:
+    """Collects an answer's chunks while they are small enough to store."""
 
     def __init__(self):
         self.chunks: list[bytes] = []
         self._size_bytes = 0
 
     @property
-    def whole(self) -> bool:
-        """Whether nothing was left out."""
+    def complete(self) -> bool:
+        """Whether no chunk was dropped."""
         return self._size_bytes <= STORED_ANSWER_LIMIT_BYTES
 
     def add(self, chunk: bytes) -> None:
-        """Keeps a chunk, or drops all once they are too large."""
+        """Adds a chunk; drops all chunks once they exceed the limit."""
         self._size_bytes += len(chunk)
         self.chunks.append(chunk)
-        if not self.whole:
+        if not self.complete:
             self.chunks.clear()
--- a/cardamombarrow/entry/pieces.py
+++ b/cardamombarrow/entry/pieces.py
@@ -1,4 +1,4 @@
-"""What is read of an answer on its way, and how its end is called."""
+"""Buffering of relayed answers, and the outcomes of runs."""
 
 from collections import abc
 
@@ -32,13 +32,13 @@
 EVENT_END = b"\n\n"
 
 WHOLE_BYTES = 65_536
-"""Answers of an announced length up to this are read whole before any of it
-goes out: one that breaks off can then be redone, and one that can't is told as
-a failure, not as half an answer."""
+"""Answers with an announced length up to this are read completely before any
+of it is sent: one that is cut off can then be retried, or is reported as a
+failure instead of a partial answer."""
 
 
 def failure_of(head: endpoints_base.Head) -> errors.EndpointError:
-    """Returns the error for an endpoint's own failure answer."""
+    """Returns the error for a failure answer of an endpoint."""
     return errors.EndpointError(
         errors.ErrorKind.ENDPOINT_FAILED,
         f"the endpoint answered {head.status}",
@@ -47,12 +47,12 @@
 
 
 def outcome_of(error: errors.RouterError | None) -> messages.Outcome:
-    """Returns how a run ended that ended with an error, or with none."""
+    """Returns the outcome of a run that ended with an error, or with none."""
     return messages.Outcome.DONE if error is None else OUTCOMES[error.kind]
 
 
 def is_short(head: endpoints_base.Head) -> bool:
-    """Tells whether an answer is read whole before any of it goes out."""
+    """Returns whether an answer is read completely before any of it is sent."""
     length = head.headers.get("content-length", "")
     return (
         not head.streams
@@ -63,15 +63,15 @@
 
 
 def whole_events(chunks: abc.Iterator[bytes]) -> abc.Iterator[bytes]:
-    """Holds back what follows the last whole event.
+    """Yields only complete events; buffers a partial one.
 
-    A stream that is resumed goes on with a whole event. Had half of one been
-    relayed before the cut, the caller would read both as one.
+    A resumed stream continues with a complete event. If part of an event had
+    been relayed before the cut, the caller would read both as one event.
     """
-    held = b""
+    partial = b""
     for chunk in chunks:
-        whole, end, held = (held + chunk).rpartition(EVENT_END)
+        whole, end, partial = (partial + chunk).rpartition(EVENT_END)
         if end:
             yield whole + end
-    if held:
-        yield held
+    if partial:
+        yield partial
--- a/cardamombarrow/entry/progress.py
+++ b/cardamombarrow/entry/progress.py
@@ -1,4 +1,4 @@
-"""How far one request has come: times, tokens, and what is metered of it."""
+"""Progress of one request: times, tokens and metering."""
 
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import clock
@@ -11,9 +11,10 @@
     """Times since a request's arrival; used by the thread that serves it.
 
     Attributes:
-        tokens: Tokens relayed so far, over all runs.
-        first_token_s: Time to the first piece of the answer; None before it.
-        longest_pause_s: Longest time between two pieces.
+        tokens: Tokens relayed so far, in all runs.
+        first_token_s: Time to the first piece of the answer, in seconds; None
+            before it.
+        longest_pause_s: Longest time between two pieces, in seconds.
     """
 
     def __init__(
@@ -34,24 +35,24 @@
 
     @property
     def age_s(self) -> float:
-        """Time since the request arrived."""
+        """Time since the request arrived, in seconds."""
         return self._clock.now_s() - self._job.arrived_s
 
     def sent(self) -> None:
-        """Notes that the request goes to an endpoint now."""
+        """Records that the request is now sent to an endpoint."""
         self._sent_s = self.age_s
 
     def began(self) -> None:
-        """Meters the request as one that has begun to run, once."""
+        """Meters the request as started; only the first call counts."""
         if not self._counted:
             self._counted = True
             self._meter.began(self._job.workspace)
 
     def first_piece(self, job: messages.Job) -> None:
-        """Notes the first piece of the answer.
+        """Records the first piece of the answer.
 
         Args:
-            job: The request as it was placed.
+            job: The placed request.
         """
         self.first_token_s = self.age_s
         if job.streams:
@@ -60,7 +61,7 @@
             self._meter.read(job.service, job.unread_tokens, after_s)
 
     def piece(self) -> None:
-        """Keeps the longest time between two pieces of the answer."""
+        """Records a piece of the answer and updates the longest pause."""
         age_s = self.age_s
         if self._last_piece_s is not None:
             pause_s = age_s - self._last_piece_s
--- a/cardamombarrow/entry/readiness.py
+++ b/cardamombarrow/entry/readiness.py
@@ -9,11 +9,11 @@
 
 
 class Readiness:
-    """Ready while it does not drain and every condition holds.
+    """Ready while the entry is not draining and every condition is met.
 
     Attributes:
-        draining: Set at a stop.
-        refusing: Set once the balancer has had time to notice the stop.
+        draining: Set when the entry is being stopped.
+        refusing: Set once the balancer has had time to notice the draining.
     """
 
     def __init__(self):
--- a/cardamombarrow/entry/routes.py
+++ b/cardamombarrow/entry/routes.py
@@ -18,32 +18,33 @@
     def match(self, host: str, path: str) -> schema.Route | None:
         """Returns the route of a request, or None.
 
-        Costs one look per slash of the path, however many routes there are.
+        Takes one lookup per slash of the path, regardless of the number of
+        routes.
 
         Args:
-            host: What the caller named; case and port do not count.
+            host: The Host header; case and port are ignored.
             path: The path without its query.
         """
-        name = _without_port(host).lower()
+        hostname = _without_port(host).lower()
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            route = self._routes.get((name, path[: end + 1]))
+            route = self._routes.get((hostname, path[: end + 1]))
             if route is not None:
                 return route
         return None
 
 
 def _without_port(host: str) -> str:
-    name, separator, port = host.rpartition(":")
-    return name if separator and port.isdigit() else host
+    hostname, separator, port = host.rpartition(":")
+    return hostname if separator and port.isdigit() else host
 
 
 def draw_service(route: schema.Route, point: float) -> ids.ServiceId:
-    """Returns one of a route's services by weight.
+    """Returns one of a route's services, selected by weight.
 
     Args:
         route: The route; its weights add up to more than 0.
-        point: From 0 to below 1, drawn evenly.
+        point: A uniformly distributed number, from 0 to below 1.
     """
     left = point * sum(route.services.values())
     for service, weight in route.services.items():
--- a/cardamombarrow/entry/starting.py
+++ b/cardamombarrow/entry/starting.py
@@ -1,8 +1,8 @@
-"""What an entry answers before it has a document in force.
+"""The WSGI application of an entry that has no document in force yet.
 
-The port is open from the start, so that a balancer sees an instance that
-lives and is not ready, and not one that refuses connections and may be down.
-Callers are held for as long as a start takes; see `holding`.
+The port is open from the start, so that a balancer sees a live instance that
+is not ready instead of one that refuses connections and may be down. Requests
+are held for about as long as a start takes; see `holding`.
 """
 
 from collections import abc
@@ -20,27 +20,27 @@
 RETRY_AFTER_S = 2.0
 
 HOLD_S = 1.0
-"""How long a caller is held before it is known what it asks for: a third of the
-shortest time that callers give a request."""
+"""Maximum time for which a request is held before it is read: a third of the
+shortest time limit that callers use."""
 
 
 class Starting:
-    """A WSGI application that hands over to another once there is one."""
+    """A WSGI application that forwards to another one once that is set."""
 
     def __init__(self, hold_s: float = 0.0):
         """Builds the application.
 
         Args:
-            hold_s: How long a request waits for the other application. With 0
-                it is refused at once, as a balancer that asks for readiness
-                has to be.
+            hold_s: How long a request waits for the other application, in
+                seconds. With 0 it is refused immediately, which a balancer's
+                readiness probe requires.
         """
         self._hold_s = hold_s
         self._served = threading.Event()
         self._app: typing.Any = None
 
     def serve(self, app: typing.Any) -> None:
-        """Hands every held and later request to `app`."""
+        """Forwards every held and later request to `app`."""
         self._app = app
         self._served.set()
 
