--- a/cardamombarrow/entry/__init__.py
+++ b/cardamombarrow/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The `entry` role: takes callers' requests, decides, relays, settles."""
+"""The `entry` role: accepts callers' requests, places and relays them."""
--- a/cardamombarrow/entry/answers.py
+++ b/cardamombarrow/entry/answers.py
@@ -1,4 +1,4 @@
-"""Errors as the caller sees them."""
+"""Error answers for callers."""
 
 import json
 import math
@@ -36,7 +36,7 @@
 def error_response(
     error: errors.RouterError, request_id: ids.RequestId
 ) -> wrappers.Response:
-    """Returns the whole HTTP answer for an error."""
+    """Returns the complete HTTP answer for an error."""
     headers = {"X-Request-Id": request_id}
     if error.retry_after_s is not None:
         headers["Retry-After"] = str(math.ceil(error.retry_after_s))
@@ -51,7 +51,7 @@
 def internal_error(
     cause: Exception, request_id: ids.RequestId
 ) -> errors.RouterError:
-    """Logs an error that nobody foresaw and returns what the caller sees."""
+    """Logs an unexpected error and returns the error for the caller."""
     logs.event(
         "internal error", "ERROR", request_id=request_id, detail=repr(cause)
     )
@@ -61,9 +61,9 @@
 
 
 def error_event(error: errors.RouterError, request_id: ids.RequestId) -> bytes:
-    """Returns the event that ends a stream which broke off.
+    """Returns the event that ends a stream that was cut off.
 
-    Without it a caller that stops at the end of the connection would take a
-    cut answer for a whole one.
+    Without it a caller that reads until the connection closes would take a cut
+    answer for a complete one.
     """
     return b"event: error\ndata: " + failure(error, request_id) + b"\n\n"
--- a/cardamombarrow/entry/core.py
+++ b/cardamombarrow/entry/core.py
@@ -1,4 +1,4 @@
-"""The entry process: wiring of its parts."""
+"""The entry process: connects its parts."""
 
 import pathlib
 import random
@@ -43,7 +43,7 @@
     "cardamombarrow.endpoints.engine",
     "cardamombarrow.endpoints.plain",
 )
-"""Modules whose import registers the project's own endpoint kinds and list."""
+"""Modules whose import registers the built-in endpoint kinds and listing."""
 
 DRAIN_LOOK_S = 0.05
 
@@ -52,11 +52,11 @@
 
 
 class _Drain(lifecycle.Part):
-    """Turns unready at a stop, refuses later, and waits for what runs.
+    """Drains at a stop: becomes unready, then refuses, then waits.
 
-    A balancer goes on sending for some seconds after the instance turned
-    unready. An instance that closed its port at once would cut those callers;
-    one that served them to the end would be killed in the middle of answers.
+    A balancer goes on sending for some seconds after the instance becomes
+    unready. If the instance closed its port at once, those callers would be
+    cut off; if it accepted all of them, it would be killed during answers.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         """Does nothing."""
 
     def stop(self) -> None:
-        """Turns unready, waits, refuses, and waits for what is served."""
+        """Becomes unready, waits, refuses, and waits for running requests."""
         begin_s = time.monotonic()
         self._readiness.draining = True
         notice_s = self._calls.drain_notice_s
@@ -89,7 +89,7 @@
 def _kinds(
     protocol: str,
 ) -> dict[schema.ServiceKind, endpoints_base.EndpointKind]:
-    """Returns how each kind of service's endpoints are spoken to."""
+    """Returns the endpoint protocol of each kind of service."""
     prefix = "" if protocol == OPENAI else f"{protocol}."
     return {
         kind: registry.lookup("endpoint-kind", f"{prefix}{kind.value}")()
@@ -104,7 +104,7 @@
     readiness: readiness_module.Readiness,
     lease: lease_module.DocumentLease,
 ) -> typing.Any:
-    """Returns the application that callers speak to."""
+    """Returns the application that serves callers."""
     protocol = settings.calls.protocol
     if protocol == OPENAI:
         return app_module.App(
@@ -144,14 +144,14 @@
 def run(
     settings: settings_module.EntrySettings, path: pathlib.Path | None = None
 ) -> None:
-    """Runs an entry process until it is told to stop.
+    """Runs an entry process until it is stopped.
 
     Args:
         settings: Its settings.
-        path: The file they came from, to be looked at for changes.
+        path: The settings file, to be watched for changes.
 
     Raises:
-        errors.UnavailableError: No instance gave a document in time.
+        errors.UnavailableError: No instance provided a document in time.
     """
     lifecycle.ignore_hangup()
     logs.configure(settings.log.level, "entry", settings.instance.id)
@@ -169,7 +169,7 @@
     side = _side_servers(settings, side_starting)
     for server in (web, *side):
         server.start()
-    logs.event("entry starts", port=web.port)
+    logs.event("entry starting", port=web.port)
     peering.take_first_document()
     retries = settings.retries
     broker = broker_module.Broker(
@@ -225,7 +225,7 @@
             lambda: None if broker.has_endpoints() else "no endpoint is known"
         )
     readiness.require(
-        lambda: None if peering.lease.holds else "the document is in doubt"
+        lambda: None if peering.lease.holds else "the document is unconfirmed"
     )
     watch.look()
     starting.serve(
--- a/cardamombarrow/entry/decision_lines.py
+++ b/cardamombarrow/entry/decision_lines.py
@@ -1,7 +1,7 @@
 """The log lines of the dispatcher's decisions.
 
-They are made once the dispatcher's lock is released: every thread waits for
-that lock, and none should wait for another's JSON.
+They are formatted after the dispatcher's lock is released: every request
+thread waits for that lock and should not wait for JSON encoding as well.
 """
 
 from collections import abc
@@ -18,8 +18,8 @@
     """A decision to be logged once the lock is released.
 
     Attributes:
-        placer: The instance that decided, where the placer was asked.
-        asked_s: Time from the question to its decision.
+        placer: The instance that decided; empty for a local decision.
+        asked_s: Time from the question to the decision, in seconds.
     """
 
     job: messages.Job
--- a/cardamombarrow/entry/in_force.py
+++ b/cardamombarrow/entry/in_force.py
@@ -17,15 +17,19 @@
 __all__ = ["Applied", "InForce", "take_first"]
 
 NO_QUORUM_WAIT_S = 3.0
-"""How long a start waits for a control process with a quorum. A cut-off
-domain has none, and then starts with the highest document it can find."""
+"""How long a start waits for a control process with a quorum. A domain that is
+cut off has none and then starts with the highest revision it can find."""
 
 ASK_PAUSE_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """One revision, parsed."""
+    """One parsed revision of the document.
+
+    Attributes:
+        format: The plug-in that parsed the text.
+    """
 
     revision: ids.Revision
     text: str
@@ -36,10 +40,10 @@
 
 
 class InForce:
-    """Holds the highest revision heard of; never goes back to a lower one.
+    """Holds the highest revision received; never reverts to a lower one.
 
     A control process that was cut off may still offer an old revision when it
-    is reached again. Taking it would revert an accepted edit.
+    is reached again. Applying it would revert an accepted edit.
     """
 
     def __init__(self):
@@ -49,18 +53,21 @@
         self._listeners: list[abc.Callable[[Applied], None]] = []
 
     def add_listener(self, listener: abc.Callable[[Applied], None]) -> None:
-        """Calls `listener` with each revision that comes into force."""
+        """Calls `listener` with each revision that is put into force."""
         self._listeners.append(listener)
 
     def offer(
         self, revision: ids.Revision, text: str, format_name: str = ""
     ) -> bool:
-        """Takes an accepted document; returns whether it was newer.
+        """Puts an accepted document into force if it is newer.
 
         Args:
             revision: Its number.
-            text: What the operator wrote.
-            format_name: The plug-in that reads it; empty is INI sections.
+            text: Its text as written by the operator.
+            format_name: The plug-in that parses it; empty for INI sections.
+
+        Returns:
+            Whether it was newer.
         """
         format_name = format_name or formats.SECTIONS
         with self._lock:
@@ -79,24 +86,24 @@
         return True
 
     def revision_and_text(self) -> tuple[ids.Revision, str]:
-        """Returns what is in force as text; revision 0 before the first."""
+        """Returns the revision in force and its text; 0 and "" before any."""
         with self._lock:
             if self._applied is None:
                 return ids.Revision(0), ""
             return self._applied.revision, self._applied.text
 
     def wait_first(self, timeout_s: float) -> bool:
-        """Waits until any document is in force."""
+        """Waits until a document is in force; returns whether there is one."""
         return self._first.wait(timeout_s)
 
     def current(self) -> Applied:
-        """Returns what is in force; call only after `wait_first`."""
+        """Returns the document in force; call only after `wait_first`."""
         assert self._applied is not None
         return self._applied
 
     @property
     def revision(self) -> ids.Revision:
-        """The revision in force, 0 before the first."""
+        """The revision in force; 0 before the first one."""
         return self._applied.revision if self._applied else ids.Revision(0)
 
 
@@ -104,17 +111,17 @@
 
 
 def take_first(documents: InForce, ask: Ask, timeout_s: float) -> bool:
-    """Takes the highest revision that the sources have, before serving.
+    """Puts the highest revision that the sources have into force at the start.
 
-    A restarted instance remembers nothing. Taking whatever comes first could
-    be the old document of a control process that is cut off; callers would
-    see an accepted edit reverted. So all sources are asked, and while no
-    control process with a quorum is among them, asked again for a while.
+    A restarted instance has no document. The first one to arrive could be an
+    old revision of a control process that is cut off, which would revert an
+    accepted edit. So all sources are queried, repeatedly for up to
+    `NO_QUORUM_WAIT_S` while no control process with a quorum answers.
 
     Args:
-        documents: Where the document is put.
-        ask: Asks every source; a future is None where none answered.
-        timeout_s: Longest wait.
+        documents: Where the document is put into force.
+        ask: Queries all sources; the result is None for one without an answer.
+        timeout_s: Longest wait, in seconds.
 
     Returns:
         Whether any document is in force.
--- a/cardamombarrow/entry/incoming.py
+++ b/cardamombarrow/entry/incoming.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a typed call: who asks, for what, how urgently."""
+"""Parses HTTP requests into typed calls."""
 
 import dataclasses
 import hashlib
@@ -31,19 +31,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class IncomingCall:
-    """A request that was let in.
+    """A parsed and authenticated request.
 
     Attributes:
         idempotency_key: Empty where the caller gave none.
         body_sha256: Digest of method, path and body.
         streams: Whether the caller asked for server-sent events.
-        version: The model's version that was drawn; empty is none.
-        headers: What the caller sent for the endpoint, unchanged.
-        caller_id: The caller's own name for the request; empty for none.
+        stall_limit_s: Longest pause within an answer, in seconds.
+        version: The model version that was drawn; empty for none.
+        headers: The caller's headers for the endpoint, unchanged.
+        caller_id: The caller's id of the request; empty for none.
         first_byte_limit_s: Longest wait for the head of an answer while the
-            request can be sent elsewhere.
-        resumable: Whether a stream that broke off may go on elsewhere.
-        resume_after: Id of the last event that the caller has already.
+            request can be sent elsewhere, in seconds.
+        resumable: Whether a stream that was cut off may continue elsewhere.
+        resume_after: Id of the last event that the caller already has.
     """
 
     job: messages.Job
@@ -65,7 +66,7 @@
 
 
 class KeyIndex:
-    """Workspaces by the digest of their caller keys."""
+    """Finds workspaces by the digest of their caller keys."""
 
     def __init__(self, document: schema.Document):
         self._by_digest = {
@@ -79,10 +80,10 @@
         return self._by_digest.get(hashlib.sha256(key.encode()).hexdigest())
 
     def authenticate(self, request: wrappers.Request) -> schema.Workspace:
-        """Returns the workspace whose key the caller shows.
+        """Returns the workspace of a request's key.
 
         Raises:
-            errors.RefusedError: No key, or one that is not known.
+            errors.RefusedError: The key is missing or unknown.
         """
         scheme, _, key = request.headers.get("Authorization", "").partition(" ")
         workspace = self.find(key.strip())
@@ -104,7 +105,7 @@
     """Reads an OpenAI-compatible completion request.
 
     Raises:
-        errors.RefusedError: It is malformed or names what is not there.
+        errors.RefusedError: It is malformed, or its model or class is unknown.
     """
     body = read_body(request)
     try:
@@ -122,13 +123,14 @@
     model = document.models.get(ids.ModelId(content["model"]))
     if model is None:
         raise errors.RefusedError(
-            errors.ErrorKind.UNKNOWN_MODEL, f"no model {content['model']!r}"
+            errors.ErrorKind.UNKNOWN_MODEL,
+            f"unknown model {content['model']!r}",
         )
     limit = content.get("max_tokens") or 0
     if not isinstance(limit, int) or limit < 0:
         raise errors.RefusedError(
             errors.ErrorKind.BAD_REQUEST,
-            "`max_tokens` is not a whole number over 0",
+            "`max_tokens` is not a non-negative integer",
         )
     service = document.services[model.service]
     request_class = _request_class(request, document, workspace)
@@ -154,7 +156,7 @@
 
 
 def _version(model: schema.Model, request_id: ids.RequestId) -> str:
-    """Draws a version by traffic weight; the random id is the draw."""
+    """Draws a version by traffic weight, using the random request id."""
     point = int(request_id, 16) / 16 ** len(request_id)
     point *= sum(model.versions.values())
     for version, weight in model.versions.items():
@@ -176,7 +178,7 @@
     """Reads a call of a plain service.
 
     Raises:
-        errors.RefusedError: There is no such service, or the body is bad.
+        errors.RefusedError: The service is unknown, or the body is invalid.
     """
     service = document.services.get(ids.ServiceId(name))
     if service is None or service.kind is not schema.ServiceKind.PLAIN:
@@ -198,8 +200,8 @@
     if f"{request.method} /{path}" in service.unrepeatable:
         call.job.repeatable = False
     query = request.query_string.decode("latin-1")
-    # The path was unquoted by the routing; sent as it is, a space or a letter
-    # beyond ASCII in it would make another request of it, or none.
+    # The routing has unquoted the path. If it were sent unquoted, a space or a
+    # non-ASCII letter would make it another request or an invalid one.
     full_path = f"/{parse.quote(path)}" + (f"?{query}" if query else "")
     return dataclasses.replace(call, path=full_path)
 
@@ -274,7 +276,7 @@
     """Reads a request's body, up to its `max_content_length`.
 
     Raises:
-        errors.RefusedError: It is too large, or did not come whole.
+        errors.RefusedError: It is too large or incomplete.
     """
     too_large = errors.RefusedError(
         errors.ErrorKind.BODY_TOO_LARGE,
@@ -286,10 +288,10 @@
         raise too_large from None
     except (exceptions.ClientDisconnected, OSError):
         raise errors.RefusedError(
-            errors.ErrorKind.BAD_REQUEST, "the body did not come whole"
+            errors.ErrorKind.BAD_REQUEST, "the body is incomplete"
         ) from None
-    # werkzeug ends a body without an announced length at the limit and says
-    # nothing: an endpoint would be sent a request with its end cut off.
+    # werkzeug silently truncates a body without an announced length at the
+    # limit: the endpoint would get a truncated request.
     if getattr(request.environ["wsgi.input"], "left_bytes", 0) > 0:
         raise too_large
     return body
--- a/cardamombarrow/entry/metrics.py
+++ b/cardamombarrow/entry/metrics.py
@@ -1,7 +1,7 @@
-"""What an entry counts of itself, as Prometheus text.
+"""Metrics of an entry, in the Prometheus text format.
 
-Latencies go into one HDR histogram per class that was seen: two significant
-digits from a millisecond to an hour take some 20 KB, whatever the load.
+Latencies are recorded in one HDR histogram per class: two significant digits
+from a millisecond to an hour take some 20 KB, regardless of the load.
 """
 
 import collections
@@ -23,22 +23,22 @@
 PREFIX = "cardamombarrow_"
 
 FEW = 20
-"""Latencies of a class that are kept before it gets a histogram."""
+"""Latencies of a class that are stored as a list before it gets a histogram."""
 
-_NOT_OURS = {
+_NOT_MISSED = {
     errors.ErrorKind.BAD_REQUEST,
     errors.ErrorKind.CALLER_GONE,
     errors.ErrorKind.KEY_REQUIRED,
     errors.ErrorKind.KEY_REUSED,
 }
-"""Failures that say nothing of whether a promise was kept."""
+"""Errors that do not count as a missed target."""
 
 
 class _Latency:
     """Latencies of one kind and class.
 
-    The first few are kept as they are: of many classes an instance sees only
-    some requests, and a histogram for each of those took 2 MB.
+    The first few are stored as a list: an instance sees only a few requests of
+    many classes, and a histogram for each of those took 2 MB.
     """
 
     def __init__(self):
@@ -54,32 +54,32 @@
             return
         self._few_ms.append(value_ms)
         if len(self._few_ms) >= FEW:
-            self._histogram = self._filled()
+            self._histogram = self._build_histogram()
             self._few_ms = None
 
-    def _filled(self) -> histogram.HdrHistogram:
-        filled = histogram.HdrHistogram(1, HIGHEST_MS, SIGNIFICANT_DIGITS)
+    def _build_histogram(self) -> histogram.HdrHistogram:
+        built = histogram.HdrHistogram(1, HIGHEST_MS, SIGNIFICANT_DIGITS)
         for value_ms in self._few_ms or ():
-            filled.record_value(value_ms)
-        return filled
+            built.record_value(value_ms)
+        return built
 
     def lines(self, name: str, class_id: ids.ClassId) -> abc.Iterator[str]:
-        kept = self._histogram or self._filled()
+        recorded = self._histogram or self._build_histogram()
         for quantile in QUANTILES:
-            value_ms = kept.get_value_at_percentile(100 * quantile)
+            value_ms = recorded.get_value_at_percentile(100 * quantile)
             labels = f'class="{class_id}",quantile="{quantile}"'
             yield f"{PREFIX}{name}{{{labels}}} {value_ms / 1_000}"
         labels = f'class="{class_id}"'
-        count = kept.get_total_count()
+        count = recorded.get_total_count()
         yield f"{PREFIX}{name}_sum{{{labels}}} {self._sum_s:.3f}"
         yield f"{PREFIX}{name}_count{{{labels}}} {count}"
 
 
 class Metrics:
-    """Counts what became of requests; shared by all threads.
+    """Counters and latencies of requests; shared by all threads.
 
     Attributes:
-        waiting: Requests that wait for a place now.
+        waiting: Requests that wait for a placement now.
     """
 
     def __init__(self):
@@ -103,7 +103,7 @@
         self.waiting = 0
 
     def wait(self, change: int) -> None:
-        """Counts a request into (1) or out of (-1) those that wait."""
+        """Changes the number of waiting requests by `change` (1 or -1)."""
         with self._lock:
             self.waiting += change
 
@@ -114,33 +114,33 @@
         total_s: float,
         tokens: int,
     ) -> None:
-        """Counts an answer that came whole; times run from the arrival."""
+        """Counts a complete answer; times are measured from the arrival."""
         met = first_token_s <= job.target_first_token_s
         with self._lock:
-            for kept, value_s in (
+            for latencies, value_s in (
                 (self._first_token, first_token_s),
                 (self._total, total_s),
             ):
-                kept.setdefault(job.class_id, _Latency()).record(value_s)
+                latencies.setdefault(job.class_id, _Latency()).record(value_s)
             self._requests[job.class_id, met] += 1
             self._goodput_tokens += tokens
 
     def wasted(self, outcome: messages.Outcome, tokens: int) -> None:
-        """Counts the tokens of a run whose answer did not come whole."""
+        """Counts the tokens of a run whose answer was not completed."""
         with self._lock:
             self._wasted[outcome] += tokens
 
     def error(
         self, kind: errors.ErrorKind, class_id: ids.ClassId | None = None
     ) -> None:
-        """Counts an error that a caller got; its promise was not kept."""
+        """Counts an error answer; most kinds count as a missed target."""
         with self._lock:
             self._errors[kind] += 1
-            if class_id is not None and kind not in _NOT_OURS:
+            if class_id is not None and kind not in _NOT_MISSED:
                 self._requests[class_id, False] += 1
 
     def asked(self, outcome: placing_messages.AskedOutcome) -> None:
-        """Counts what became of a question to the placer."""
+        """Counts the outcome of a question to the placer."""
         with self._lock:
             self._asked[outcome] += 1
 
@@ -152,10 +152,10 @@
     def text(
         self, held: int, revision: ids.Revision, rate_limited: int = 0
     ) -> str:
-        """Returns all of it in the Prometheus text format.
+        """Returns all metrics in the Prometheus text format.
 
         Args:
-            held: Requests that are held now.
+            held: Requests held now.
             revision: Revision in force.
             rate_limited: Endpoints that state a rate limit.
         """
@@ -169,12 +169,12 @@
             return "\n".join(self._lines(gauges)) + "\n"
 
     def _lines(self, gauges: dict[str, int]) -> abc.Iterator[str]:
-        for name, kept in (
+        for name, latencies in (
             ("first_token_seconds", self._first_token),
             ("total_seconds", self._total),
         ):
             yield f"# TYPE {PREFIX}{name} summary"
-            for class_id, latency in kept.items():
+            for class_id, latency in latencies.items():
                 yield from latency.lines(name, class_id)
         yield f"# TYPE {PREFIX}requests_total counter"
         for (class_id, met), count in self._requests.items():
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -45,29 +45,29 @@
 FIRST_DOCUMENT_TIMEOUT_S = 60.0
 
 MEET_TRIES = 2
-"""How often all control processes are asked before one is followed: they may
+"""How often all control processes are probed before one is followed: they may
 still be starting."""
 
 MEET_S = 0.3
-"""Longest wait for all their answers: a connection and a question over 30 ms
-one way take half of it. One that is dark does not answer at all, and with
-`ASK_TIMEOUT_S` twice a start took 4 s longer beside it."""
+"""Longest wait for all their answers: connecting and one query at 30 ms one-way
+delay take half of it. A control process without power does not answer at all;
+waiting `ASK_TIMEOUT_S` for it twice delayed a start by 4 s."""
 
 ASK_TIMEOUT_S = 2.0
-"""Longest wait for one source of the first document."""
+"""Longest wait for each source of the first document."""
 
 BOOT_BYTES = 4
-"""Random bytes that tell one start of an entry from another."""
+"""Random bytes that distinguish the starts of an entry."""
 
 
 _Asked = list[futures.Future[control_pb2.DocumentMessage | None]]
 
 
 def meet(ask: abc.Callable[[], _Asked]) -> None:
-    """Asks all control processes, to learn which is near.
+    """Queries all control processes, to measure which is nearest.
 
     Args:
-        ask: Asks each; a future is None where one does not answer.
+        ask: Queries each; the result is None for one that does not answer.
     """
     for _ in range(MEET_TRIES):
         answered, silent = futures.wait(ask(), MEET_S)
@@ -76,10 +76,14 @@
 
 
 class Peering(lifecycle.Part):
-    """All that an entry hears from and tells other instances.
+    """An entry's communication with other instances.
 
     Attributes:
+        membership: The members of the domain; None before `join`.
         control: The link to the control processes.
+        lease: The age of the last confirmation of the document.
+        time: The time agreed with the control processes.
+        meter: Counts usage by workspace.
     """
 
     def __init__(
@@ -101,7 +105,7 @@
         self._asking: placing_client.PlacingClient | None = None
         self._placer: placer_module.Placer | None = None
         self._teller: placing_teller.LoadTeller | None = None
-        self._found: tuple[messages.KnownEndpoint, ...] = ()
+        self._found_endpoints: tuple[messages.KnownEndpoint, ...] = ()
         self._kept_number = 0
         self.control = control_client.ControlClient(
             self._loop,
@@ -146,12 +150,12 @@
 
     def _confirm_request(self, address: str) -> control_pb2.ConfirmRequest:
         usage, self._usage_number = self.meter.unconfirmed(address)
-        news = [] if self._broker is None else self._broker.kept_news()
+        cache_changes = [] if self._broker is None else self._broker.kept_news()
         return control_pb2.ConfirmRequest(
             instance=self._instance,
             domain=self._domain,
             applied_revision=self._documents.revision,
-            kept=kept_codec.kept_to_wire(news),
+            kept=kept_codec.kept_to_wire(cache_changes),
             kept_since=self._kept_number,
             usage=[
                 collecting.usage_to_wire(
@@ -205,13 +209,13 @@
             self._node.set_seeds((*self._settings.peers.seeds, *reply.entries))
 
     def take_first_document(self) -> None:
-        """Starts the links to control and waits for a document.
+        """Starts the links to control processes and waits for a document.
 
-        Where documents have to be confirmed, the first one may be any: no
-        request is let in before a majority has confirmed it.
+        If documents have to be confirmed, any revision may be the first one:
+        no request is admitted before a majority has confirmed it.
 
         Raises:
-            errors.UnavailableError: No instance gave a document in time.
+            errors.UnavailableError: No instance provided a document in time.
         """
         self._loop.start()
         if self.lease.bound_s:
@@ -222,16 +226,16 @@
                 logs.event("no document yet", "WARNING")
             return
         if not in_force.take_first(
-            self._documents, self._ask, FIRST_DOCUMENT_TIMEOUT_S
+            self._documents, self._query_sources, FIRST_DOCUMENT_TIMEOUT_S
         ):
             raise errors.UnavailableError(
                 errors.ErrorKind.NOT_READY,
-                "neither a control process nor an entry gave a document; "
+                "neither a control process nor an entry provided a document; "
                 "see [peers] controls and seeds",
             )
         self.control.start()
 
-    def _ask(self) -> _Asked:
+    def _query_sources(self) -> _Asked:
         peers = self._settings.peers
         return self.control.documents(ASK_TIMEOUT_S) + [
             self._loop.call(
@@ -246,11 +250,11 @@
         broker: broker_module.Broker,
         counts: metrics_module.Metrics,
     ) -> poller_module.Poller:
-        """Builds the gossip; returns the poller that it steers.
+        """Builds the gossip; returns the poller that it controls.
 
         Args:
-            kinds: How each kind of service's endpoints are spoken to.
-            broker: What is told to others, and is told.
+            kinds: The endpoint protocol of each kind of service.
+            broker: The broker whose state is exchanged with other instances.
             counts: Where questions to the placer are counted.
         """
         self._broker = broker
@@ -351,11 +355,11 @@
     def on_listing(
         self, items: list[discovery.Listed], names_endpoints: bool
     ) -> None:
-        """Takes the list of endpoints.
+        """Applies the platform's list of endpoints.
 
         Args:
-            items: What it says.
-            names_endpoints: Whether it says which endpoints there are.
+            items: Its items.
+            names_endpoints: Whether the list defines which endpoints exist.
         """
         self.membership.on_listing(
             (item.endpoint, item.state is discovery.ListedState.LEAVING)
@@ -369,8 +373,8 @@
             )
             for item in items
         )
-        if found != self._found:
-            self._found = found
+        if found != self._found_endpoints:
+            self._found_endpoints = found
             logs.decision(
                 "endpoints", endpoints=[each.endpoint for each in found]
             )
@@ -378,7 +382,7 @@
             self.membership.on_found(found)
 
     def on_settings(self, settings: settings_module.EntrySettings) -> None:
-        """Takes another list of control processes."""
+        """Applies a changed list of control processes."""
         self.control.set_controls(settings.peers.control_addresses())
 
     def start(self) -> None:
@@ -390,7 +394,7 @@
             self._asking.start()
 
     def stop(self) -> None:
-        """Says goodbye to the other instances and ends all links."""
+        """Announces the departure to other instances and closes all links."""
         if self._asking is not None:
             self._asking.stop()
         self._teller.stop()
--- a/cardamombarrow/entry/protocol.py
+++ b/cardamombarrow/entry/protocol.py
@@ -1,8 +1,8 @@
-"""How callers say what they want, apart from the OpenAI-compatible interface.
+"""Interface of caller protocols other than the OpenAI-compatible one.
 
-A caller protocol translates between HTTP headers and what the router needs to
-know. It decides nothing: which route, class and endpoint a request gets is
-decided by the document and the decisions.
+A caller protocol translates between HTTP headers and the router's request
+data. It makes no decisions: the document and the decision policies determine
+the route, class and endpoint of a request.
 """
 
 import abc
@@ -23,23 +23,23 @@
 SLOT = "caller-protocol"
 
 Headers = tuple[tuple[str, str], ...]
-"""Header fields in the order in which they came."""
+"""Header fields in the order of arrival."""
 
 
 @dataclasses.dataclass(frozen=True)
 class CallFacts:
-    """What a request's headers tell.
+    """The parsed headers of a request.
 
     Attributes:
-        caller_id: The caller's name for this request.
-        key: The caller's key; empty where none was shown.
-        limit_s: Time that the caller will wait; None where it is not told.
-        forwarded: Headers that go to the endpoint unchanged.
-        model: Name of the model; empty where it is not told.
-        prompt_tokens: 0 where it is not told.
-        most_tokens: Longest answer; 0 where it is not told.
+        caller_id: The caller's id of the request.
+        key: The caller's key; empty if there is none.
+        limit_s: Time that the caller will wait, in seconds; None if not given.
+        forwarded: Headers that are forwarded to the endpoint unchanged.
+        model: Name of the model; empty if not given.
+        prompt_tokens: Length of the prompt; 0 if not given.
+        most_tokens: Maximum length of the answer; 0 if not given.
         parts: The prompt's parts, in order.
-        resume_after: Id of the last event that the caller has already.
+        resume_after: Id of the last event that the caller already has.
     """
 
     caller_id: str
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ErrorAnswer:
-    """What a caller gets in place of an endpoint's answer."""
+    """An error answer that is sent instead of an endpoint's answer."""
 
     status: int
     headers: Headers
@@ -75,10 +75,10 @@
 
     @abc.abstractmethod
     def answer_headers(self, headers: dict[str, str]) -> Headers:
-        """Returns which headers of an endpoint's answer the caller gets."""
+        """Returns the headers of an endpoint's answer for the caller."""
 
     @abc.abstractmethod
     def error(
         self, error: errors.RouterError, request_id: ids.RequestId
     ) -> ErrorAnswer:
-        """Returns the whole answer for an error."""
+        """Returns the complete answer for an error."""
--- a/cardamombarrow/entry/relaying.py
+++ b/cardamombarrow/entry/relaying.py
@@ -1,4 +1,4 @@
-"""Runs a call that was let in and relays its answer, whoever asked how."""
+"""Runs admitted calls and relays their answers, for all applications."""
 
 from collections import abc
 import typing
@@ -20,15 +20,15 @@
 NO_BODY_STATUSES = (204, 304)
 
 DRAINING_RETRY_S = 0.3
-"""When a caller comes back who met an instance that stops: time enough to
-reach another one."""
+"""Retry delay of callers that reach a stopping instance: enough time to reach
+another one."""
 
 
 class Relaying:
-    """What the applications of an entry have in common.
+    """Request handling shared by the applications of an entry.
 
     Attributes:
-        services: What every request's life needs.
+        services: Dependencies shared by all requests.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
 
     @property
     def held(self) -> int:
-        """Requests that are held now."""
+        """The number of requests held now."""
         return self._gate.held
 
     def metrics_text(self) -> str:
@@ -71,20 +71,21 @@
         Args:
             environ: The WSGI environment.
             call: The call.
-            run: Runs its life; `run_plain`, or `run_claimed`.
-            tells_breaks: Whether a stream that breaks off ends with an event
-                that says so; otherwise the connection breaks.
+            run: Runs the call; `run_plain`, or the result of `run_claimed`.
+            tells_breaks: Whether a stream that is cut off ends with an error
+                event; otherwise the connection is broken.
 
         Raises:
             errors.RouterError: It was refused or failed.
         """
         try:
             if self._readiness.refusing:
-                # A balancer that knows nobody else goes on sending. What is
-                # taken now would be cut off when the process is killed.
+                # A balancer without another instance goes on sending. A
+                # request accepted now would be cut off when the process is
+                # killed.
                 raise errors.RefusedError(
                     errors.ErrorKind.DRAINING,
-                    "this instance stops",
+                    "this instance is stopping",
                     retry_after_s=DRAINING_RETRY_S,
                 )
             self._gate.enter(call.job, self._documents.current().document)
@@ -95,8 +96,8 @@
         chunks = self._chunks(relay, call.job, tells_breaks)
         method = environ["REQUEST_METHOD"]
         if relay.head.status in NO_BODY_STATUSES or method == "HEAD":
-            # werkzeug neither iterates nor closes the body of such an answer:
-            # the endpoint's slot would be held for ever.
+            # werkzeug neither iterates nor closes the body of these answers:
+            # the endpoint's slot would never be released.
             chunks = iter(list(chunks))
         return life.Relay(relay.head, chunks)
 
@@ -114,13 +115,13 @@
             raise
 
     def run_plain(self, request_life: life.Life) -> life.Relay:
-        """Runs a call as it is."""
+        """Runs a call without a claim."""
         return request_life.run()
 
     def run_claimed(
         self, call: incoming.IncomingCall
     ) -> abc.Callable[[life.Life], life.Relay]:
-        """Returns how a call is run under a claim in the ledger."""
+        """Returns a function that runs a call under a claim in the ledger."""
 
         def run(request_life: life.Life) -> life.Relay:
             return once.run_once(
@@ -137,7 +138,8 @@
         except errors.RouterError as error:
             self.services.metrics.error(error.kind, job.class_id)
             if not (relay.head.streams and tells_breaks):
-                # The caller sees fewer bytes than announced, or no last chunk.
+                # The caller detects the cut by a missing last chunk or by
+                # fewer bytes than announced.
                 raise
             yield answers.error_event(error, job.request_id)
         finally:
--- a/cardamombarrow/entry/routed.py
+++ b/cardamombarrow/entry/routed.py
@@ -1,7 +1,7 @@
-"""The application that serves callers by the document's routes.
+"""The WSGI application that serves callers by the document's routes.
 
-The method, path, query and body reach the endpoint as they came, and its
-answer comes back as it was given.
+The method, path, query and body are forwarded to the endpoint unchanged, and
+its answer is returned unchanged.
 """
 
 from collections import abc
@@ -33,25 +33,25 @@
 __all__ = ["RoutedApp"]
 
 NOT_READY_RETRY_S = 1.0
-"""When a caller comes back whom this entry can't serve yet: about the time
-until the balancer has noticed and another entry is tried."""
+"""Retry delay of callers that this entry can't serve yet: about the time until
+the balancer has noticed and tries another entry."""
 
 LATE_STREAM = 2.5
-"""Times its target after which a stream that has not begun is sent elsewhere:
-under load first events come late by twice their target and would come later
-still from another engine."""
+"""Multiple of its first-token target after which a stream that has not begun is
+sent elsewhere: under load first events are late by twice their target and would
+be later still from another engine."""
 
 LATE_ANSWER = 1.6
-"""The same for other answers, which take about as long wherever they run."""
+"""The same for other answers, which take about as long on any endpoint."""
 
 STALL_PAUSES = 4.0
-"""Times its longest pause after which a silent stream is resumed elsewhere:
-callers wait for eight."""
+"""Multiple of its longest pause after which a silent stream is resumed
+elsewhere: callers wait for eight."""
 
 STALL_LEAST_S = 0.8
 
 SUFFIX_BYTES = 3
-"""Random bytes that tell two requests apart to which callers gave one name."""
+"""Random bytes that distinguish requests with the same caller-given id."""
 
 _StartResponse = abc.Callable[..., object]
 _REASONS = {status.value: status.phrase for status in http.HTTPStatus}
@@ -127,7 +127,7 @@
         route = applied.routes.match(environ.get("HTTP_HOST", ""), path)
         if route is None:
             raise errors.RefusedError(
-                errors.ErrorKind.NOT_FOUND, "no route of this host and path"
+                errors.ErrorKind.NOT_FOUND, "no route for this host and path"
             )
         workspace = _workspace(route, facts, applied)
         body = _read_body(environ, applied.document.limits)
@@ -149,12 +149,12 @@
         facts: protocol_module.CallFacts,
         request_id: ids.RequestId,
     ) -> in_force.Applied:
-        """Returns the document in force, once it may be taken for the newest.
+        """Returns the document in force, once it is confirmed as the newest.
 
         Raises:
-            errors.RefusedError: There is none, or it may be out of date. A
-                key that was taken away would still be let in, and a route
-                that was added would be denied.
+            errors.RefusedError: There is none, or it may be out of date: a
+                removed key would still be accepted, and an added route
+                refused.
         """
         if not self._lease.holds:
             self._hold(environ, facts, request_id)
@@ -177,7 +177,7 @@
         """Waits for a confirmation that is expected soon.
 
         Raises:
-            errors.RefusedError: The caller left meanwhile.
+            errors.RefusedError: The caller left during the wait.
         """
         unconfirmed_s = self._lease.unconfirmed_s
         limit_s = facts.limit_s or holding.STARTING_S
@@ -188,7 +188,7 @@
         logs.decision(
             "hold",
             request_id=request_id,
-            reason="the first confirmation of the document is awaited",
+            reason="waiting for the first confirmation of the document",
             unconfirmed_s=round(unconfirmed_s, 3),
             limit_s=limit_s,
             most_s=round(most_s, 3),
@@ -277,8 +277,8 @@
 
 
 def _request_id(facts: protocol_module.CallFacts) -> ids.RequestId:
-    # Two callers may send one name at a time; the books of this instance are
-    # kept by request, and one's end would be taken for the other's.
+    # Two callers may use the same id at the same time. This instance tracks
+    # requests by id, so the end of one would be taken for the end of the other.
     suffix = secrets.token_hex(SUFFIX_BYTES)
     return ids.RequestId(f"{facts.caller_id}.{suffix}")
 
@@ -293,7 +293,7 @@
     workspace = applied.keys.find(facts.key) if facts.key else None
     if workspace is None:
         raise errors.RefusedError(
-            errors.ErrorKind.UNAUTHENTICATED, "no key, or one not known"
+            errors.ErrorKind.UNAUTHENTICATED, "missing or unknown key"
         )
     return workspace
 
@@ -319,9 +319,9 @@
 
 
 def _prefix_key(facts: protocol_module.CallFacts) -> str:
-    """Returns what requests share that could use each other's prompt.
+    """Returns a key for the prompt prefix that requests may share.
 
-    The last part belongs to the request itself or to its session.
+    The last part is specific to the request or its session and is left out.
     """
     shared = facts.parts[:-1]
     return "/".join(part.part for part in shared)
--- a/cardamombarrow/entry/routes.py
+++ b/cardamombarrow/entry/routes.py
@@ -44,7 +44,7 @@
 
     Args:
         route: The route; its weights add up to more than 0.
-        point: A uniformly distributed number, from 0 to below 1.
+        point: From 0 to below 1, uniformly distributed.
     """
     left = point * sum(route.services.values())
     for service, weight in route.services.items():
--- a/cardamombarrow/entry/side.py
+++ b/cardamombarrow/entry/side.py
@@ -1,4 +1,4 @@
-"""What an entry tells the platform on addresses of its own."""
+"""Readiness and metrics for the platform, served on separate addresses."""
 
 from collections import abc
 import dataclasses
@@ -54,7 +54,7 @@
         return wrappers.Response("ready\n")
 
     def _instance_answer(self) -> wrappers.Response:
-        believes = {
+        content = {
             "instance": self._instance,
             "revision": self._documents.revision,
             "document_age_s": round(self._lease.age_s, 3),
@@ -66,5 +66,5 @@
             ],
         }
         return wrappers.Response(
-            json.dumps(believes) + "\n", content_type="application/json"
+            json.dumps(content) + "\n", content_type="application/json"
         )
