--- a/cardamombarrow/entry/settings.py
+++ b/cardamombarrow/entry/settings.py
@@ -20,11 +20,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class InstanceSettings:
-    """Who this instance is."""
+    """Identity of this instance."""
 
     id: str = settings.setting(help="id of this instance, unique")
-    domain: str = settings.setting(help="failure domain it stands in")
-    region: str = settings.setting("", help="region it stands in")
+    domain: str = settings.setting(help="failure domain of this instance")
+    region: str = settings.setting("", help="region of this instance")
     plugins: tuple[str, ...] = settings.setting(
         (), help="modules to import at the start; they register plug-ins"
     )
@@ -32,16 +32,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogSettings:
-    """What is logged."""
+    """Settings of the log."""
 
     level: str = settings.setting(
-        "INFO", help="least level written: DEBUG, INFO, WARNING, ERROR"
+        "INFO", help="minimum level: DEBUG, INFO, WARNING or ERROR"
     )
 
 
 @dataclasses.dataclass(frozen=True)
 class PeerSettings:
-    """How the system's own processes find and trust each other."""
+    """How the system's processes find and authenticate each other."""
 
     secret: str = settings.setting(
         help="shared secret of all instances", unit="characters", low=16
@@ -54,16 +54,16 @@
     )
     address: str = settings.setting(
         "",
-        help="address host:port that other instances reach this one at; "
-        "empty for the two above",
+        help="address host:port at which other instances reach this one; "
+        "empty for the host and port above",
     )
     controls: tuple[str, ...] = settings.setting(
         (), help="peer addresses host:port of the control processes"
     )
     controls_port: int = settings.setting(
         0,
-        help="port of the control processes, in place of those in `controls`; "
-        "0 takes them as they stand",
+        help="port of the control processes, replaces those in `controls`; "
+        "0 uses the ports given there",
         low=0,
         high=65535,
     )
@@ -72,8 +72,8 @@
     )
     ask_placer: bool = settings.setting(
         True,
-        help="ask one instance of the domain where each stream goes; with no, "
-        "each decides by itself",
+        help="whether one instance of the domain places each stream; with no, "
+        "each instance decides by itself",
     )
     report_interval_s: float = settings.setting(
         1.0,
@@ -96,30 +96,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class SideSettings:
-    """Where a platform asks how the process is."""
+    """Addresses at which a platform queries the state of the process."""
 
     ready: str = settings.setting(
-        "", help="address host:port of its own for /readyz; empty for none"
+        "", help="separate address host:port for /readyz; empty for none"
     )
     metrics: str = settings.setting(
-        "", help="address host:port of its own for /metrics; empty for none"
+        "", help="separate address host:port for /metrics; empty for none"
     )
 
 
 @dataclasses.dataclass(frozen=True)
 class RetrySettings:
-    """What all entries together may send again to one service."""
+    """Limits on retries to one service by all entries together."""
 
     share: float = settings.setting(
         0.1,
-        help="part of the requests of a window that may be sent again",
+        help="share of the requests of a window that may be retried",
         low=0.0,
         high=10.0,
     )
     slack: float = settings.setting(
         20.0,
         unit="requests",
-        help="requests of a window that may be sent again besides",
+        help="additional requests of a window that may be retried",
         low=0.0,
         high=1e6,
     )
@@ -130,14 +130,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class DocumentSettings:
-    """How sure an entry must be of the document."""
+    """Requirements on the confirmation of the document."""
 
     confirmed_within_s: float = settings.setting(
         0.0,
         unit="s",
-        help="greatest age of the last confirmation by a majority that the "
-        "document in force is the newest; older, requests are refused. With "
-        "0 an entry that is cut off serves on",
+        help="maximum age of the last confirmation by a majority that the "
+        "document in force is the newest; if it is older, requests are "
+        "refused. With 0 an entry that is cut off continues to serve",
         low=0.0,
         high=3600.0,
     )
@@ -149,7 +149,7 @@
 
     protocol: str = settings.setting(
         "openai",
-        help="how callers speak: `openai`, or a caller-protocol plug-in for "
+        help="protocol of callers: `openai`, or a caller-protocol plug-in for "
         "requests by route",
     )
 
@@ -163,15 +163,15 @@
     drain_most_s: float = settings.setting(
         30.0,
         unit="s",
-        help="time after SIGTERM for which new callers are answered, though "
-        "refused, while requests are still served",
+        help="maximum time after SIGTERM in which running requests are "
+        "completed; new callers get a refusal",
         low=0.0,
         high=600.0,
     )
     drain_notice_s: float = settings.setting(
         5.0,
         unit="s",
-        help="time after SIGTERM in which new requests are still taken, "
+        help="time after SIGTERM in which new requests are still accepted, "
         "until the balancer has noticed",
         low=0.0,
         high=600.0,
@@ -180,7 +180,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlatformSettings:
-    """The platform's list and the endpoints' reports."""
+    """The platform's list of endpoints and the endpoints' load reports."""
 
     discovery: str = settings.setting(
         "list", help="discovery plug-in that reads the list"
@@ -189,12 +189,16 @@
         "", help="URL of the platform's list; empty for none"
     )
     listing_interval_s: float = settings.setting(
-        1.0, unit="s", help="time between two looks", low=0.05, high=60.0
+        1.0,
+        unit="s",
+        help="time between two reads of the list",
+        low=0.05,
+        high=60.0,
     )
     leaving_within_ms: float = settings.setting(
         0.0,
         unit="ms",
-        help="time from the list's word that an endpoint leaves until no "
+        help="time from the list marking an endpoint as leaving until no "
         "entry sends to it any more; with 0 a list counts as old after two "
         "intervals",
         low=0.0,
@@ -215,7 +219,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MeteringSettings:
-    """What an entry counts."""
+    """Metering of usage by workspace."""
 
     window_s: float = settings.setting(
         0.0,
--- a/cardamombarrow/entry/tests/test_broker.py
+++ b/cardamombarrow/entry/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""Threads that wait for a place, and callers that leave meanwhile."""
+"""Threads that wait for a placement, and callers that leave during the wait."""
 
 from concurrent import futures
 import random
@@ -41,15 +41,15 @@
 @pytest.fixture
 def broker(kandula_text):
     document = parsing.parse(kandula_text)
-    made = broker_module.Broker(
+    started = broker_module.Broker(
         document,
         ids.InstanceId("entry-1"),
         ids.DomainId("badulla-a"),
         clock.SystemClock(),
     )
-    made.start()
-    yield made
-    made.stop()
+    started.start()
+    yield started
+    started.stop()
 
 
 def _wait_until(condition) -> None:
@@ -59,11 +59,11 @@
         time.sleep(0.005)
 
 
-def test_caller_that_leaves_as_it_is_placed_gives_its_slot_back(broker):
-    # A phone hangs up in the very moment in which its request gets a slot.
-    # If neither side sees the other, the slot stays taken until a restart,
-    # and after some dozens of such calls the entry serves nobody.
-    def one(number: int) -> None:
+def test_slot_is_released_when_caller_leaves_during_placement(broker):
+    # A caller disconnects at the moment its request gets a slot. If the two
+    # events miss each other, the slot stays taken until a restart, and after
+    # some dozens of them the entry serves no requests.
+    def call_once(number: int) -> None:
         rng = random.Random(number)
         try:
             ticket = broker.submit(_job(number))
@@ -80,14 +80,14 @@
         broker.finish(ticket.job.request_id, messages.Outcome.DONE)
 
     with futures.ThreadPoolExecutor(48) as executor:
-        for future in [executor.submit(one, n) for n in range(800)]:
+        for future in [executor.submit(call_once, n) for n in range(800)]:
             future.result(timeout=60)
     demand = broker.demand()
     assert demand.demand_tokens_per_s == {}
     assert demand.in_flight == {}
 
 
-def test_withdrawn_after_its_place_is_finished_once(broker):
+def test_withdrawal_after_placement_releases_the_slot(broker):
     ticket = broker.submit(_job(1))
     assert ticket.placed.result(timeout=_LIMIT_S)
     broker.withdraw(ticket)
@@ -106,9 +106,8 @@
 
 
 def test_deadline_is_answered_without_any_other_event(broker):
-    # Every slot is taken and nothing else happens at this entry. Without a
-    # timer that knows the deadline the caller would wait for an event that
-    # never comes.
+    # Every slot is taken and no other event occurs at this entry. Without a
+    # timer for the deadline the caller would never get an answer.
     _fill(broker)
     now_s = time.monotonic()
     ticket = broker.submit(_job(1, deadline_s=now_s + 6.0, rank=2))
@@ -118,21 +117,21 @@
     assert error.retry_after_s
 
 
-def test_run_that_gives_way_is_told_and_queued_again(broker):
+def test_preempted_run_is_notified_and_queued_again(broker):
     held = _fill(broker)
     urgent = broker.submit(_job(1, target_first_token_s=0.2))
     _wait_until(lambda: any(ticket.preempted for ticket in held))
     victim = next(ticket for ticket in held if ticket.preempted)
     broker.finish(victim.job.request_id, messages.Outcome.PREEMPTED)
     assert urgent.placed.result(timeout=_LIMIT_S)
-    again = broker.resubmit(victim, messages.Outcome.PREEMPTED)
-    assert again is not None
-    assert again.preempted is None
+    new_ticket = broker.resubmit(victim, messages.Outcome.PREEMPTED)
+    assert new_ticket is not None
+    assert new_ticket.preempted is None
 
 
 def test_no_line_is_written_while_the_lock_is_held(broker, monkeypatch):
-    # Every request's thread passes through the lock. With a slow log behind
-    # it, one line would hold up all of them.
+    # Every request's thread takes the lock. If log lines were written under
+    # it, one write to a slow log would delay all requests.
     probes = []
 
     def probe(name: str, **fields: object) -> None:
@@ -150,10 +149,12 @@
 
 
 def test_timer_sleeps_while_nothing_waits(broker, monkeypatch):
-    looks = []
+    calls = []
     look = broker._look
     monkeypatch.setattr(
-        broker, "_look", lambda *args: looks.append(args) or look(*args)
+        broker,
+        "_look",
+        lambda *args: calls.append(args) or look(*args),
     )
     time.sleep(1.0)
-    assert len(looks) <= 1.0 / knowing.SHARES_S + 1
+    assert len(calls) <= 1.0 / knowing.SHARES_S + 1
--- a/cardamombarrow/entry/tests/test_gate.py
+++ b/cardamombarrow/entry/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""Who is let in while an edition changes."""
+"""Admission of requests while the edition of the document changes."""
 
 import dataclasses
 import random
@@ -26,10 +26,10 @@
 
 
 @pytest.mark.parametrize("rank", [0, 7, 99])
-def test_request_of_the_edition_before_is_let_in(kandula_text, rank):
-    # A request is read under one edition, and the next one, which has neither
-    # its rank nor its workspace, is in force by the time it is counted in.
-    # Looked up there, it ended with an internal error.
+def test_request_of_the_previous_edition_is_admitted(kandula_text, rank):
+    # A request is read under one edition. When it enters the gate, the next
+    # edition is in force, which has neither its rank nor its workspace. A
+    # lookup there ended with an internal error.
     document = parsing.parse(kandula_text)
     later = dataclasses.replace(document, workspaces={})
     gate = gate_module.Gate(16, random.Random(1))
--- a/cardamombarrow/entry/tests/test_holding.py
+++ b/cardamombarrow/entry/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""Requests that come while all processes are starting."""
+"""Requests that arrive while all processes are starting."""
 
 import threading
 
@@ -13,28 +13,28 @@
 @pytest.mark.parametrize(
     ("unconfirmed_s", "limit_s", "held_s"),
     [
-        # A draft whose caller gives it 15 s waits out the start.
+        # A limit of 15 s: held for the whole start.
         (0.0, 15.0, holding.STARTING_S),
         (0.5, 15.0, holding.STARTING_S - 0.5),
-        # A booking with 2 s keeps three quarters of them.
+        # A limit of 2 s: three quarters of it remain.
         (0.0, 2.0, 0.5),
-        # The start is over and there was no confirmation: cut off.
+        # The start has ended without a confirmation: cut off.
         (holding.STARTING_S, 15.0, 0.0),
         (60.0, 15.0, 0.0),
-        # There was one, and it has run out: cut off.
+        # The last confirmation has expired: cut off.
         (None, 15.0, 0.0),
     ],
 )
-def test_a_request_is_held_only_while_a_start_may_still_end_well(
+def test_a_request_is_held_only_while_a_confirmation_is_expected(
     unconfirmed_s, limit_s, held_s
 ):
     assert holding.hold_s(unconfirmed_s, limit_s) == pytest.approx(held_s)
 
 
-def test_a_request_of_the_first_half_second_after_a_restart_of_all_is_served():
-    # All processes were killed and are back; the document is there, the first
-    # confirmation comes 0.4 s later. Whoever asked meanwhile was refused and
-    # told to come back in a second; many callers come back only once.
+def test_a_request_in_the_first_half_second_after_a_full_restart_is_served():
+    # All processes were killed and restarted; the document is available, its
+    # first confirmation arrives 0.4 s later. Requests in between were refused
+    # with a retry delay of a second, and many callers retry only once.
     time_source = clock.SystemClock()
     lease = lease_module.DocumentLease(3.5, time_source)
     served = []
@@ -60,7 +60,7 @@
     return status[0][:3]
 
 
-def test_a_caller_is_held_until_the_first_document_is_there():
+def test_a_caller_is_held_until_the_first_document_is_available():
     app = starting.Starting(hold_s=30.0)
     answers = []
     caller = threading.Thread(target=lambda: answers.append(_ask(app)))
@@ -70,6 +70,6 @@
     assert answers == ["200"]
 
 
-def test_a_balancer_that_asks_for_readiness_is_answered_at_once():
+def test_a_readiness_probe_is_answered_immediately():
     assert _ask(starting.Starting()) == "503"
     assert _ask(starting.Starting(hold_s=30.0), "/healthz") == "200"
--- a/cardamombarrow/entry/tests/test_incoming.py
+++ b/cardamombarrow/entry/tests/test_incoming.py
@@ -1,4 +1,4 @@
-"""From a caller's request to the call that an endpoint gets."""
+"""Parsing of callers' requests into calls for endpoints."""
 
 import collections
 import json
@@ -13,8 +13,8 @@
 
 
 def test_versions_get_their_share_of_the_traffic(kandula_text):
-    # A rollout gives a tenth of the traffic to a new version. The engine must
-    # be asked for the version, with the rest of the body unchanged.
+    # A rollout gives a tenth of the traffic to a new version. The request to
+    # the engine must name the version, with the rest of the body unchanged.
     text = kandula_text.replace(
         "[model:trail-7b]\n",
         "[model:trail-7b]\nversions = trail-7b-a:9 trail-7b-b:1\n",
--- a/cardamombarrow/entry/tests/test_lease.py
+++ b/cardamombarrow/entry/tests/test_lease.py
@@ -1,12 +1,13 @@
-"""How long a document may be taken for the newest."""
+"""How long a document counts as confirmed."""
 
 from cardamombarrow.entry import lease as lease_module
 from cardamombarrow.kernel import clock
 
 
-def test_a_confirmation_counts_from_when_it_was_asked_for():
-    # A key is taken away while the answer to an earlier question is under
-    # way. Counted from its arrival, the key would live on for that time.
+def test_a_confirmation_counts_from_its_request():
+    # A key is removed while the reply to an earlier request is in transit. If
+    # the age counted from the reply's arrival, the key would stay valid for
+    # that time.
     time_source = clock.ManualClock(100.0)
     lease = lease_module.DocumentLease(3.0, time_source)
     assert not lease.holds
@@ -17,7 +18,7 @@
     assert not lease.holds
 
 
-def test_a_late_answer_to_an_earlier_question_changes_nothing():
+def test_a_late_reply_to_an_earlier_request_changes_nothing():
     time_source = clock.ManualClock(100.0)
     lease = lease_module.DocumentLease(3.0, time_source)
     lease.confirm(100.0)
@@ -25,5 +26,5 @@
     assert lease.age_s == 0.0
 
 
-def test_without_a_bound_a_domain_that_is_cut_off_serves_on():
+def test_without_a_bound_a_domain_that_is_cut_off_continues_to_serve():
     assert lease_module.DocumentLease(0.0, clock.ManualClock()).holds
--- a/cardamombarrow/entry/tests/test_metrics.py
+++ b/cardamombarrow/entry/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""What an entry counts of itself."""
+"""Metrics of an entry."""
 
 import re
 
@@ -35,7 +35,7 @@
     return _samples(counted.text(3, ids.Revision(7)))
 
 
-def test_latency_and_attainment_stand_by_class():
+def test_latency_and_attainment_are_reported_by_class():
     counted = metrics.Metrics()
     for number in range(1, 101):
         counted.done(_job("question"), number / 50, 4.0, tokens=10)
@@ -53,8 +53,8 @@
 
 
 def test_a_refusal_is_a_missed_target_and_a_bad_request_is_not():
-    # A router that counted only what it let in would show full attainment
-    # while it refuses half of what was sold.
+    # If only admitted requests were counted, attainment would be 100 % while
+    # half of the sold capacity is refused.
     counted = metrics.Metrics()
     for kind in (
         errors.ErrorKind.OVERLOADED,
@@ -69,7 +69,7 @@
     assert seen['cardamombarrow_errors_total{code="bad_request"}'] == 1
 
 
-def test_wasted_tokens_stand_by_reason():
+def test_wasted_tokens_are_reported_by_reason():
     counted = metrics.Metrics()
     counted.wasted(messages.Outcome.CRASHED, 40)
     counted.wasted(messages.Outcome.CRASHED, 2)
--- a/cardamombarrow/entry/tests/test_peering.py
+++ b/cardamombarrow/entry/tests/test_peering.py
@@ -1,4 +1,4 @@
-"""How an entry that starts meets the control processes."""
+"""First queries of a starting entry to the control processes."""
 
 from concurrent import futures
 import threading
@@ -13,7 +13,7 @@
     return future
 
 
-def test_a_control_process_that_is_dark_holds_up_no_start():
+def test_a_control_process_without_power_does_not_delay_a_start():
     # One control process has lost power while an entry restarts. The entry
     # waited for its answer twice, for 2 s each, before it followed one of the
     # others, and its callers were refused for that time.
@@ -31,7 +31,7 @@
     assert len(asked) == 1
 
 
-def test_one_that_is_still_starting_is_asked_again():
+def test_a_control_process_that_is_still_starting_is_asked_again():
     answers = [None, control_pb2.DocumentMessage()]
     peering.meet(lambda: [_answered(answers.pop(0))])
     assert not answers
--- a/cardamombarrow/entry/tests/test_routes.py
+++ b/cardamombarrow/entry/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request gets."""
+"""Matching of requests to routes."""
 
 import collections
 
@@ -49,7 +49,7 @@
         ("", "/x/q", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_holds(index, host, path, name):
+def test_the_longest_prefix_of_the_host_matches(index, host, path, name):
     route = index.match(host, path)
     assert (route.route if route else None) == name
 
--- a/cardamombarrow/placing/messages.py
+++ b/cardamombarrow/placing/messages.py
@@ -1,4 +1,4 @@
-"""What an entry and the placer of its domain tell each other."""
+"""Messages between an entry and the placer of its domain."""
 
 import dataclasses
 import enum
@@ -10,7 +10,14 @@
 
 
 class AskedOutcome(enum.Enum):
-    """What became of a question to the placer."""
+    """Outcome of a question to the placer.
+
+    Attributes:
+        DECIDED: The placer's decision was applied.
+        LATE: No answer arrived in time.
+        LOST: The stream to the placer was lost.
+        NOT_TAKEN: The entry did not apply the placer's decision.
+    """
 
     DECIDED = "decided"
     LATE = "late"
@@ -20,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waits:
-    """The request waits for its turn; another answer follows."""
+    """The request is queued at the placer; its decision follows later."""
 
     request_id: ids.RequestId
 
@@ -30,9 +37,9 @@
     """The placer's decision on one request.
 
     Attributes:
-        unread_tokens: Prompt tokens that the endpoint is expected to read; of
-            placements.
-        expected_tokens: The expected length of the answer; of placements.
+        unread_tokens: Prompt tokens that the endpoint is expected to read; only
+            set for placements.
+        expected_tokens: Expected length of the answer; only set for placements.
     """
 
     decision: messages.Decision
@@ -41,7 +48,7 @@
 
     @property
     def request_id(self) -> ids.RequestId:
-        """The request that was asked about."""
+        """The request that was decided on."""
         return self.decision.request_id
 
 
@@ -50,8 +57,8 @@
     """A request that an entry has sent to an endpoint.
 
     Attributes:
-        placed_s: When, on the clock of who holds this object.
-        begun: Whether its first event has come.
+        placed_s: Time of its placement, on the local clock.
+        begun: Whether its first event has arrived.
     """
 
     job: messages.Job
--- a/cardamombarrow/placing/tests/test_many_entries.py
+++ b/cardamombarrow/placing/tests/test_many_entries.py
@@ -1,8 +1,8 @@
-"""Many entries before few engines, in virtual time, with and without a placer.
+"""Many entries with few engines, in virtual time, with and without a placer.
 
-Thirty-two entries share thirteen engines when four times the usual load comes
-for eight seconds. Each knows of an engine only what it sent there itself, so
-some engines get twice the work of others: answers are late and callers are
+Thirty-two entries share thirteen engines while four times the usual load
+arrives for eight seconds. Each entry knows only its own requests on an engine,
+so some engines get twice the work of others: answers are late and callers are
 refused while engines are idle.
 """
 
@@ -17,12 +17,12 @@
 
 SEEDS = (0, 1, 2)
 
-AIM = 0.95
-"""Share of first events that has to be in time."""
+MIN_SHARE = 0.95
+"""Minimum share of first events in time."""
 
 
-class _Watched(asked_driver.AskedDriver):
-    """Counts how often each request is on an engine at a time."""
+class _CountingDriver(asked_driver.AskedDriver):
+    """Counts how often each request is on engines at the same time."""
 
     def __init__(self, scenario, seed):
         super().__init__(scenario, seed)
@@ -52,7 +52,7 @@
         pattern = many_entries.PATTERNS[name]
         scenario = pattern.build(random.Random(seed), None)
         if scenario.asked:
-            driver = _Watched(scenario, seed)
+            driver = _CountingDriver(scenario, seed)
         else:
             driver = asked_driver.make(scenario, seed)
         results.append(driver.run())
@@ -72,41 +72,42 @@
 
 @pytest.mark.parametrize("kind", many_entries.KINDS, ids=lambda k: k.class_id)
 def test_first_events_are_in_time(kind):
-    assert _share("many-entries-asked", kind.class_id) >= AIM
+    assert _share("many-entries-asked", kind.class_id) >= MIN_SHARE
 
 
 @pytest.mark.parametrize("kind", many_entries.KINDS, ids=lambda k: k.class_id)
-def test_a_placer_that_goes_dark_in_the_burst_costs_nobody_anything(kind):
-    # Each entry then decides by itself, with what it knows. Callers must be no
-    # worse off than if nobody had ever been asked.
+def test_losing_the_placer_in_a_burst_is_no_worse_than_having_none(kind):
+    # Each entry then decides by itself with its own information. Attainment
+    # must not be lower than without any placer.
     lost = _share("many-entries-asked-lost", kind.class_id)
     assert lost >= _share("many-entries", kind.class_id)
 
 
 def test_without_a_placer_the_burst_makes_answers_late():
-    assert _share("many-entries", many_entries.DIGEST) < AIM
+    assert _share("many-entries", many_entries.DIGEST) < MIN_SHARE
 
 
-def test_with_a_placer_nobody_is_refused_what_can_be_served():
+def test_with_a_placer_no_request_that_can_be_served_is_refused():
     assert _refusals("many-entries-asked") == 0 < _refusals("many-entries")
 
 
 @pytest.mark.parametrize(
     "name", ["many-entries-asked", "many-entries-asked-lost"]
 )
-def test_no_request_is_sent_twice_and_no_place_stays_taken(name):
+def test_no_request_is_sent_twice_and_no_slot_stays_taken(name):
     for driver in _runs(name)[0]:
         assert driver.most_at_once == 1
         assert driver.running_at_the_end() == 0
 
 
-def test_a_request_of_the_placer_is_one_of_its_entry():
-    # What the placer takes for running, and what the entries do, must be the
-    # same after it was dark: an engine would look full, or empty, for good.
+def test_placer_and_entries_agree_on_running_requests():
+    # After the placer was unreachable, its set of running requests must equal
+    # that of the entries. Otherwise an engine would look full, or empty, until
+    # a restart.
     scenario = many_entries.PATTERNS["many-entries-asked-lost"].build(
         random.Random(5), None
     )
-    driver = _Watched(scenario, 5)
+    driver = _CountingDriver(scenario, 5)
     seen = []
 
     def compare():
--- a/cardamombarrow/placing/tests/test_order.py
+++ b/cardamombarrow/placing/tests/test_order.py
@@ -1,4 +1,4 @@
-"""Whom the entries of a domain ask."""
+"""Selection of the placer by the entries of a domain."""
 
 import pytest
 
@@ -8,23 +8,23 @@
 
 
 def _order(members=_MEMBERS):
-    made = order_module.PlacerOrder()
-    made.set_members(members)
-    return made
+    order = order_module.PlacerOrder()
+    order.set_members(members)
+    return order
 
 
-def test_all_who_know_the_same_members_ask_the_same_one():
+def test_entries_with_the_same_members_ask_the_same_placer():
     shuffled = [_order(sorted(_MEMBERS, key=hash)) for _ in range(3)]
     assert len({each.first(0.0) for each in shuffled}) == 1
 
 
-def test_a_lone_member_asks_nobody():
+def test_a_single_member_decides_by_itself():
     assert _order(["entry-1"]).first(0.0) is None
 
 
 def test_while_the_first_is_avoided_all_ask_the_same_second():
-    # The placer dies in a burst. Scattered over many others, each entry would
-    # know its own placements only, as if nobody were asked.
+    # The placer crashes in a burst. If the entries used many other placers,
+    # each would see only a part of the placements, as without a placer.
     seconds = set()
     for _ in range(3):
         order = _order()
@@ -34,9 +34,9 @@
 
 
 def test_pauses_double_and_end():
-    # An instance that is frozen for long takes each new connection and
-    # answers nothing. Looked at each second, it costs every entry a second
-    # without a placer, again and again.
+    # A frozen instance accepts connections but never answers. If it were
+    # retried each second, every entry would repeatedly spend a second without
+    # a placer.
     order = _order()
     first = order.first(0.0)
     now_s = 0.0
@@ -55,7 +55,7 @@
     assert order.first(now_s + order_module.PAUSE_FIRST_S) == first
 
 
-def test_where_all_have_failed_nobody_is_asked():
+def test_no_placer_is_selected_after_all_have_failed():
     order = _order(_MEMBERS[:3])
     for _ in range(3):
         order.failed(order.first(0.0), 0.0)
@@ -63,7 +63,7 @@
     assert order.first(order_module.PAUSE_FIRST_S) is not None
 
 
-def test_a_member_that_is_gone_is_forgotten():
+def test_the_pause_of_a_removed_member_is_dropped():
     order = _order()
     first = order.first(0.0)
     order.failed(first, 0.0)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("gone", _MEMBERS[:4])
-def test_a_member_that_leaves_moves_only_those_who_asked_it(gone):
+def test_only_the_departure_of_the_placer_changes_the_placer(gone):
     before = _order().first(0.0)
     after = _order([each for each in _MEMBERS if each != gone]).first(0.0)
     assert (after == before) is (gone != before)
--- a/cardamombarrow/reports/__init__.py
+++ b/cardamombarrow/reports/__init__.py
@@ -1,5 +1,5 @@
-"""Reports for those who sold the capacity: was each promise kept?
+"""Reports on whether each request class met its sold attainment target.
 
-They are worked out from the entries' log lines, so they need nothing that
-runs and can be made for any time that the logs cover.
+They are computed from the entries' log lines, so they need no running process
+and can cover any period of the logs.
 """
--- a/cardamombarrow/reports/core.py
+++ b/cardamombarrow/reports/core.py
@@ -1,4 +1,4 @@
-"""From log lines to a table of promises kept, in a pipeline of generators."""
+"""Computes target attainment per class from log lines, with generators."""
 
 import collections
 from collections import abc
@@ -19,10 +19,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Settled:
-    """A run that ended, whole or not.
+    """A run that ended, with a complete answer or not.
 
     Attributes:
-        first_token_s: From arrival to the first byte; None if none came.
+        first_token_s: Time from arrival to the first byte, in seconds; None if
+            there was none.
         tokens: Tokens relayed.
     """
 
@@ -35,12 +36,12 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the caller received the whole answer."""
+        """Whether the caller received the complete answer."""
         return self.outcome == "done"
 
     @property
     def in_target(self) -> bool:
-        """Whether it was whole and its first token in time."""
+        """Whether the answer was complete and its first token in time."""
         return (
             self.whole
             and self.first_token_s is not None
@@ -59,15 +60,15 @@
 
 @dataclasses.dataclass
 class ClassReport:
-    """What became of one class.
+    """Results of one request class.
 
     Attributes:
         ended: Runs by outcome.
         refused: Refusals by error code.
-        in_target: Whole answers whose first token came in time.
-        useful_tokens: Tokens of whole answers.
+        in_target: Complete answers whose first token was in time.
+        useful_tokens: Tokens of complete answers.
         wasted_tokens: Tokens of all other runs.
-        first_token_ms: Histogram of the whole answers.
+        first_token_ms: Histogram of the complete answers.
     """
 
     class_id: ids.ClassId
@@ -88,21 +89,21 @@
 
     @property
     def answered(self) -> int:
-        """Requests that were answered, whole, broken or refused."""
+        """Requests with a complete or cut answer, or a refusal."""
         return self.ended.total() + self.refused.total()
 
     @property
     def attainment_share(self) -> float | None:
-        """Share of answered requests in target; None where there are none.
+        """Share of answered requests in target; None without any request.
 
-        A refusal counts as a missed target: the caller was promised an
-        answer. One that came back later and was served counts twice, once as
+        A refusal counts as a missed target, because the caller was promised an
+        answer. A request that is refused and served later counts twice, once as
         a refusal and once as an answer.
         """
         return self.in_target / self.answered if self.answered else None
 
     def kept(self, request_class: schema.RequestClass) -> bool:
-        """Tells whether the promise that was sold was kept."""
+        """Returns whether the class met its sold attainment target."""
         share = self.attainment_share
         return share is None or share >= request_class.attainment_share
 
@@ -110,7 +111,7 @@
 def lines(
     files: abc.Iterable[typing.TextIO],
 ) -> abc.Iterator[dict[str, typing.Any]]:
-    """Yields each decision in the logs; what is not JSON is passed over."""
+    """Yields each decision in the logs; lines that are not JSON are skipped."""
     for file in files:
         for line in file:
             if '"decision"' not in line:
@@ -118,7 +119,7 @@
             try:
                 yield json.loads(line)
             except ValueError:
-                # The last line of a process that was killed may be torn.
+                # The last line of a killed process may be truncated.
                 continue
 
 
@@ -147,7 +148,7 @@
 def collect(
     ended: abc.Iterable[Settled | Refused],
 ) -> dict[ids.ClassId, ClassReport]:
-    """Adds up what became of each class."""
+    """Adds up the results of each class."""
     reports: dict[ids.ClassId, ClassReport] = {}
     for event in ended:
         report = reports.setdefault(event.class_id, ClassReport(event.class_id))
--- a/cardamombarrow/reports/tests/test_core.py
+++ b/cardamombarrow/reports/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Reports: what counts as a promise kept."""
+"""Attainment reports: which answers count as in target."""
 
 import io
 import json
@@ -42,24 +42,22 @@
         ([_settle(), _refuse()], 0.5),
     ],
 )
-def test_only_whole_answers_in_time_keep_the_promise(raw, share):
+def test_only_complete_answers_in_time_count_as_attained(raw, share):
     assert _report(*raw).attainment_share == share
 
 
-def test_tokens_of_broken_answers_are_wasted():
+def test_tokens_of_incomplete_answers_are_wasted():
     report = _report(_settle(tokens=10), _settle("stalled", tokens=4))
     assert (report.useful_tokens, report.wasted_tokens) == (10, 4)
 
 
-def test_a_torn_last_line_is_passed_over():
-    # A process is killed while it writes; the report is still made.
+def test_a_truncated_last_line_is_skipped():
+    # A process is killed while it writes a line; the report must still work.
     text = json.dumps(_settle()) + "\n" + json.dumps(_settle())[:40]
     assert len(list(core.lines([io.StringIO(text)]))) == 1
 
 
-def test_a_broken_promise_shows_in_the_exit_code(
-    tmp_path, kandula_text, capsys
-):
+def test_a_missed_target_sets_the_exit_code(tmp_path, kandula_text, capsys):
     document, log = tmp_path / "document.ini", tmp_path / "entry.log"
     document.write_text(kandula_text)
     log.write_text(json.dumps(_settle(first_token_s=2.0)) + "\n")
