--- a/cardamombarrow/entry/app.py
+++ b/cardamombarrow/entry/app.py
@@ -48,14 +48,14 @@
         self,
         instance: ids.InstanceId,
         documents: in_force.InForce,
-        relaying: relaying_module.Relaying,
+        runner: relaying_module.Relaying,
         readiness: readiness_module.Readiness,
         body_limit_bytes: int,
     ):
         self._instance = instance
         self._documents = documents
-        self._relaying = relaying
-        self._services = relaying.services
+        self._runner = runner
+        self._services = runner.services
         self._readiness = readiness
         self._body_limit_bytes = body_limit_bytes
 
@@ -108,7 +108,7 @@
     def _on_metrics(
         self, request: wrappers.Request, request_id: ids.RequestId
     ) -> wrappers.Response:
-        text = self._relaying.metrics_text()
+        text = self._runner.metrics_text()
         return wrappers.Response(text, content_type="text/plain; version=0.0.4")
 
     def _on_instance(
@@ -153,13 +153,13 @@
     def _run(
         self, request: wrappers.Request, call: incoming.IncomingCall
     ) -> wrappers.Response:
-        relaying = self._relaying
+        runner = self._runner
         run = (
-            relaying.run_plain
+            runner.run_plain
             if call.job.repeatable
-            else relaying.run_claimed(call)
+            else runner.run_claimed(call)
         )
-        relay = relaying.begin(request.environ, call, run, tells_breaks=True)
+        relay = runner.begin(request.environ, call, run, tells_breaks=True)
         headers = {
             name: relay.head.headers[name]
             for name in _RELAYED_HEADERS
--- a/cardamombarrow/entry/broker.py
+++ b/cardamombarrow/entry/broker.py
@@ -57,7 +57,7 @@
             if refusal is None:
                 self._tickets[job.request_id] = ticket
                 if use_placer:
-                    self._asking.ask(job)
+                    self._remote_placer.ask(job)
                 else:
                     lines = self._run_due()
                     self._wake_if_earlier()
@@ -68,7 +68,9 @@
         return ticket
 
     def _use_placer(self, job: messages.Job, now_s: float) -> bool:
-        return self._asking.takes() and self._dispatcher.may_ask(job, now_s)
+        return self._remote_placer.takes() and self._dispatcher.may_ask(
+            job, now_s
+        )
 
     def resubmit(
         self, ticket: ticket_module.Ticket, outcome: messages.Outcome
@@ -88,7 +90,7 @@
             self._tickets[job.request_id] = new_ticket
             attempts = job.attempts
             if self._dispatcher.is_announced(job.request_id):
-                self._asking.ask(job)
+                self._remote_placer.ask(job)
             lines = self._run_due()
             self._wake_if_earlier()
         logs.decision(
@@ -118,7 +120,7 @@
         with self._lock:
             request_id = ticket.job.request_id
             if self._dispatcher.is_announced(request_id):
-                self._asking.withdraw(request_id)
+                self._remote_placer.withdraw(request_id)
             if self._dispatcher.withdraw(request_id):
                 del self._tickets[request_id]
             elif not ticket.placed.exception(timeout=0):
@@ -129,7 +131,7 @@
         """Records that a request's first token has arrived."""
         with self._lock:
             self._dispatcher.first_token(request_id, self._clock.now_s())
-            self._asking.began(request_id)
+            self._remote_placer.began(request_id)
             lines = self._run_due()
         decision_lines.write(lines)
 
@@ -152,7 +154,7 @@
         tokens = self._dispatcher.finish(
             request_id, outcome, self._clock.now_s()
         )
-        self._asking.ended(request_id, outcome, tokens)
+        self._remote_placer.ended(request_id, outcome, tokens)
         return self._run_due()
 
     # -- decisions of the placer ----------------------------------------------
@@ -205,7 +207,7 @@
         if applied:
             decision_lines.write(lines)
         else:
-            self._asking.withdraw(answer.request_id)
+            self._remote_placer.withdraw(answer.request_id)
             self.fall_back(answer.request_id, _not_applied(decision))
         return applied
 
@@ -325,7 +327,7 @@
         if job.streams:
             now_s = self._clock.now_s()
             run = placing_messages.Run(job, placement.endpoint, now_s)
-            self._asking.ran(run)
+            self._remote_placer.ran(run)
 
 
 def _not_applied(decision: messages.Decision) -> str:
--- a/cardamombarrow/entry/core.py
+++ b/cardamombarrow/entry/core.py
@@ -45,7 +45,7 @@
 )
 """Modules whose import registers the built-in endpoint kinds and listing."""
 
-DRAIN_LOOK_S = 0.05
+DRAIN_POLL_S = 0.05
 
 OPENAI = "openai"
 """The caller protocol whose requests name models and plain services."""
@@ -62,11 +62,11 @@
     def __init__(
         self,
         readiness: readiness_module.Readiness,
-        relaying: relaying_module.Relaying,
+        runner: relaying_module.Relaying,
         calls: settings_module.CallSettings,
     ):
         self._readiness = readiness
-        self._relaying = relaying
+        self._runner = runner
         self._calls = calls
 
     def start(self) -> None:
@@ -77,13 +77,13 @@
         begin_s = time.monotonic()
         self._readiness.draining = True
         notice_s = self._calls.drain_notice_s
-        logs.event("draining", notice_s=notice_s, held=self._relaying.held)
+        logs.event("draining", notice_s=notice_s, held=self._runner.held)
         time.sleep(notice_s)
         self._readiness.refusing = True
-        logs.event("refusing", held=self._relaying.held)
+        logs.event("refusing", held=self._runner.held)
         end_s = begin_s + self._calls.drain_most_s
-        while self._relaying.held and time.monotonic() < end_s:
-            time.sleep(DRAIN_LOOK_S)
+        while self._runner.held and time.monotonic() < end_s:
+            time.sleep(DRAIN_POLL_S)
 
 
 def _kinds(
@@ -100,7 +100,7 @@
 def _app(
     settings: settings_module.EntrySettings,
     documents: in_force.InForce,
-    relaying: relaying_module.Relaying,
+    runner: relaying_module.Relaying,
     readiness: readiness_module.Readiness,
     lease: lease_module.DocumentLease,
 ) -> typing.Any:
@@ -110,13 +110,13 @@
         return app_module.App(
             ids.InstanceId(settings.instance.id),
             documents,
-            relaying,
+            runner,
             readiness,
             settings.calls.body_limit_bytes,
         )
     return routed.RoutedApp(
         documents,
-        relaying,
+        runner,
         registry.lookup(protocol_module.SLOT, protocol)(),
         lease,
         random.Random(),
@@ -163,10 +163,10 @@
     documents = in_force.InForce()
     time_source = clock.SystemClock()
     peering = peering_module.Peering(settings, documents, time_source)
-    starting = starting_module.Starting(starting_module.HOLD_S)
-    side_starting = starting_module.Starting()
-    web = http.HttpServer(settings.http, starting)
-    side = _side_servers(settings, side_starting)
+    startup = starting_module.Starting(starting_module.HOLD_S)
+    side_startup = starting_module.Starting()
+    web = http.HttpServer(settings.http, startup)
+    side = _side_servers(settings, side_startup)
     for server in (web, *side):
         server.start()
     logs.event("entry starting", port=web.port)
@@ -197,7 +197,7 @@
     )
     readiness = readiness_module.Readiness()
     gate = gate_module.Gate(settings.http.connections, random.Random())
-    relaying = relaying_module.Relaying(
+    runner = relaying_module.Relaying(
         instance, documents, services, gate, readiness
     )
 
@@ -228,15 +228,13 @@
         lambda: None if peering.lease.holds else "the document is unconfirmed"
     )
     watch.look()
-    starting.serve(
-        _app(settings, documents, relaying, readiness, peering.lease)
-    )
-    side_starting.serve(
+    startup.serve(_app(settings, documents, runner, readiness, peering.lease))
+    side_startup.serve(
         side_module.SideApp(
-            instance, documents, relaying, readiness, peering.lease
+            instance, documents, runner, readiness, peering.lease
         )
     )
-    drain = _Drain(readiness, relaying, settings.calls)
+    drain = _Drain(readiness, runner, settings.calls)
     parts = [*side, poller, watch, broker, peering, ledger, web, drain]
     reloader = None
     if path is not None:
--- a/cardamombarrow/entry/in_force.py
+++ b/cardamombarrow/entry/in_force.py
@@ -20,7 +20,7 @@
 """How long a start waits for a control process with a quorum. A domain that is
 cut off has none and then starts with the highest revision it can find."""
 
-ASK_PAUSE_S = 0.2
+QUERY_INTERVAL_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
@@ -107,10 +107,14 @@
         return self._applied.revision if self._applied else ids.Revision(0)
 
 
-Ask = abc.Callable[[], list[futures.Future[control_pb2.DocumentMessage | None]]]
+QuerySources = abc.Callable[
+    [], list[futures.Future[control_pb2.DocumentMessage | None]]
+]
 
 
-def take_first(documents: InForce, ask: Ask, timeout_s: float) -> bool:
+def take_first(
+    documents: InForce, query: QuerySources, timeout_s: float
+) -> bool:
     """Puts the highest revision that the sources have into force at the start.
 
     A restarted instance has no document. The first one to arrive could be an
@@ -120,7 +124,7 @@
 
     Args:
         documents: Where the document is put into force.
-        ask: Queries all sources; the result is None for one without an answer.
+        query: Queries all sources; a result of None means no answer.
         timeout_s: Longest wait, in seconds.
 
     Returns:
@@ -128,7 +132,7 @@
     """
     start_s = time.monotonic()
     while time.monotonic() - start_s < timeout_s:
-        messages = [future.result() for future in ask()]
+        messages = [future.result() for future in query()]
         found = [message for message in messages if message and message.text]
         certain = any(message.has_quorum for message in found)
         waited = time.monotonic() - start_s >= NO_QUORUM_WAIT_S
@@ -136,5 +140,5 @@
             best = max(found, key=lambda message: message.revision)
             documents.offer(ids.Revision(best.revision), best.text, best.format)
             return True
-        time.sleep(ASK_PAUSE_S)
+        time.sleep(QUERY_INTERVAL_S)
     return documents.revision > 0
--- a/cardamombarrow/entry/knowing.py
+++ b/cardamombarrow/entry/knowing.py
@@ -78,7 +78,7 @@
             rate_limits=rate_limits or rate_limits_module.RateLimits(),
             whole_domain=whole_domain,
         )
-        self._asking: asking_module.Asking = asking_module.NobodyAsked()
+        self._remote_placer: asking_module.Asking = asking_module.NobodyAsked()
         self._domain_broker: KnowingBroker | None = None
         self._dispatcher = core.Dispatcher(context, time_source.now_s())
         self._lock = threading.Lock()
@@ -103,9 +103,9 @@
         if self._domain_broker is not None:
             self._domain_broker.stop()
 
-    def set_asking(self, asking: asking_module.Asking) -> None:
+    def set_asking(self, remote_placer: asking_module.Asking) -> None:
         """Sets the placer to be asked from now on."""
-        self._asking = asking
+        self._remote_placer = remote_placer
 
     def for_domain(self) -> "KnowingBroker":
         """Returns a started broker for all requests of the domain.
@@ -235,7 +235,7 @@
     ) -> None:
         """Records a load report that came with an endpoint's answer."""
         self.report(endpoint, report)
-        self._asking.loaded(endpoint, report)
+        self._remote_placer.loaded(endpoint, report)
 
     def answer_rate_limit(
         self, endpoint: ids.EndpointId, limit: messages.RateLimit
--- a/cardamombarrow/entry/life.py
+++ b/cardamombarrow/entry/life.py
@@ -27,7 +27,7 @@
 
 __all__ = ["Life", "LifeServices", "Relay"]
 
-CALLER_LOOK_S = 0.25
+CALLER_POLL_S = 0.25
 """Interval at which a waiting caller's connection is checked."""
 
 TAIL_BYTES = 512
@@ -252,7 +252,7 @@
     def _wait(self, ticket: ticket_module.Ticket) -> messages.Placement:
         while True:
             try:
-                return ticket.placed.result(timeout=CALLER_LOOK_S)
+                return ticket.placed.result(timeout=CALLER_POLL_S)
             except futures.TimeoutError:
                 if self._caller.gone():
                     self._services.broker.withdraw(ticket)
--- a/cardamombarrow/entry/metrics.py
+++ b/cardamombarrow/entry/metrics.py
@@ -22,7 +22,7 @@
 QUANTILES = (0.5, 0.9, 0.95, 0.99)
 PREFIX = "cardamombarrow_"
 
-FEW = 20
+LIST_LIMIT = 20
 """Latencies of a class that are stored as a list before it gets a histogram."""
 
 _NOT_MISSED = {
@@ -42,24 +42,24 @@
     """
 
     def __init__(self):
-        self._few_ms: list[int] | None = []
+        self._first_ms: list[int] | None = []
         self._histogram: histogram.HdrHistogram | None = None
         self._sum_s = 0.0
 
     def record(self, value_s: float) -> None:
         value_ms = min(max(round(value_s * 1_000), 1), HIGHEST_MS)
         self._sum_s += value_s
-        if self._few_ms is None:
+        if self._first_ms is None:
             self._histogram.record_value(value_ms)
             return
-        self._few_ms.append(value_ms)
-        if len(self._few_ms) >= FEW:
+        self._first_ms.append(value_ms)
+        if len(self._first_ms) >= LIST_LIMIT:
             self._histogram = self._build_histogram()
-            self._few_ms = None
+            self._first_ms = None
 
     def _build_histogram(self) -> histogram.HdrHistogram:
         built = histogram.HdrHistogram(1, HIGHEST_MS, SIGNIFICANT_DIGITS)
-        for value_ms in self._few_ms or ():
+        for value_ms in self._first_ms or ():
             built.record_value(value_ms)
         return built
 
@@ -95,7 +95,7 @@
         self._wasted: collections.Counter[messages.Outcome] = (
             collections.Counter()
         )
-        self._asked: collections.Counter[placing_messages.AskedOutcome] = (
+        self._questions: collections.Counter[placing_messages.AskedOutcome] = (
             collections.Counter()
         )
         self._goodput_tokens = 0
@@ -142,7 +142,7 @@
     def asked(self, outcome: placing_messages.AskedOutcome) -> None:
         """Counts the outcome of a question to the placer."""
         with self._lock:
-            self._asked[outcome] += 1
+            self._questions[outcome] += 1
 
     def sent_under_limit(self) -> None:
         """Counts a request to an endpoint that states a rate limit."""
@@ -190,8 +190,8 @@
             labels = f'reason="{outcome.value}"'
             yield f"{PREFIX}wasted_tokens_total{{{labels}}} {tokens}"
         yield f"# TYPE {PREFIX}placing_questions_total counter"
-        for asked, count in self._asked.items():
-            labels = f'outcome="{asked.value}"'
+        for question_outcome, count in self._questions.items():
+            labels = f'outcome="{question_outcome.value}"'
             yield f"{PREFIX}placing_questions_total{{{labels}}} {count}"
         yield f"# TYPE {PREFIX}sent_under_rate_limit_total counter"
         yield f"{PREFIX}sent_under_rate_limit_total {self._sent_under_limit}"
--- a/cardamombarrow/entry/once.py
+++ b/cardamombarrow/entry/once.py
@@ -62,7 +62,7 @@
 
 def run_once(
     call: incoming.IncomingCall,
-    request_life: life.Life,
+    handler: life.Life,
     ledger: ledger_client.LedgerClient,
     instance: ids.InstanceId,
 ) -> life.Relay:
@@ -78,7 +78,7 @@
             f"unrepeatable requests need the header {incoming.KEY_HEADER}",
         )
     key = ledger_client.ledger_key(call.job.workspace, call.idempotency_key)
-    claim = _new_claim(call, instance, request_life.left_s())
+    claim = _new_claim(call, instance, handler.left_s())
     verdict = ledger.claim(key, claim)
     logs.decision(
         "claim",
@@ -95,7 +95,7 @@
         )
     state = machine.ClaimState.UNKNOWN
     try:
-        relay = request_life.run()
+        relay = handler.run()
     except BaseException as error:
         if isinstance(error, errors.RouterError) and error.not_run:
             state = machine.ClaimState.NOT_RUN
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -44,11 +44,11 @@
 
 FIRST_DOCUMENT_TIMEOUT_S = 60.0
 
-MEET_TRIES = 2
+PROBE_TRIES = 2
 """How often all control processes are probed before one is followed: they may
 still be starting."""
 
-MEET_S = 0.3
+PROBE_WAIT_S = 0.3
 """Longest wait for all their answers: connecting and one query at 30 ms one-way
 delay take half of it. A control process without power does not answer at all;
 waiting `ASK_TIMEOUT_S` for it twice delayed a start by 4 s."""
@@ -69,8 +69,8 @@
     Args:
         ask: Queries each; the result is None for one that does not answer.
     """
-    for _ in range(MEET_TRIES):
-        answered, silent = futures.wait(ask(), MEET_S)
+    for _ in range(PROBE_TRIES):
+        answered, silent = futures.wait(ask(), PROBE_WAIT_S)
         if silent or all(each.result() is not None for each in answered):
             return
 
@@ -102,7 +102,7 @@
         self._server: server_module.PeerServer | None = None
         self.membership: membership_module.Membership | None = None
         self._broker: broker_module.Broker | None = None
-        self._asking: placing_client.PlacingClient | None = None
+        self._remote_placer: placing_client.PlacingClient | None = None
         self._placer: placer_module.Placer | None = None
         self._teller: placing_teller.LoadTeller | None = None
         self._found_endpoints: tuple[messages.KnownEndpoint, ...] = ()
@@ -305,7 +305,7 @@
             ],
         )
         if peers.ask_placer:
-            self._asking = placing_client.PlacingClient(
+            self._remote_placer = placing_client.PlacingClient(
                 self._loop,
                 self._instance,
                 peers.secret,
@@ -317,7 +317,7 @@
                     count=counts.asked,
                 ),
             )
-            broker.set_asking(self._asking)
+            broker.set_asking(self._remote_placer)
         return poller
 
     def _hooks(self) -> gossip_node.GossipHooks:
@@ -390,13 +390,13 @@
         self._server.start()
         self._node.start()
         self._teller.start()
-        if self._asking is not None:
-            self._asking.start()
+        if self._remote_placer is not None:
+            self._remote_placer.start()
 
     def stop(self) -> None:
         """Announces the departure to other instances and closes all links."""
-        if self._asking is not None:
-            self._asking.stop()
+        if self._remote_placer is not None:
+            self._remote_placer.stop()
         self._teller.stop()
         self._node.stop()
         if self.lease.bound_s:
--- a/cardamombarrow/entry/relaying.py
+++ b/cardamombarrow/entry/relaying.py
@@ -114,18 +114,18 @@
             self._gate.leave(call.job)
             raise
 
-    def run_plain(self, request_life: life.Life) -> life.Relay:
+    def run_plain(self, handler: life.Life) -> life.Relay:
         """Runs a call without a claim."""
-        return request_life.run()
+        return handler.run()
 
     def run_claimed(
         self, call: incoming.IncomingCall
     ) -> abc.Callable[[life.Life], life.Relay]:
         """Returns a function that runs a call under a claim in the ledger."""
 
-        def run(request_life: life.Life) -> life.Relay:
+        def run(handler: life.Life) -> life.Relay:
             return once.run_once(
-                call, request_life, self.services.ledger, self._instance
+                call, handler, self.services.ledger, self._instance
             )
 
         return run
--- a/cardamombarrow/entry/routed.py
+++ b/cardamombarrow/entry/routed.py
@@ -36,19 +36,19 @@
 """Retry delay of callers that this entry can't serve yet: about the time until
 the balancer has noticed and tries another entry."""
 
-LATE_STREAM = 2.5
+LATE_STREAM_FACTOR = 2.5
 """Multiple of its first-token target after which a stream that has not begun is
 sent elsewhere: under load first events are late by twice their target and would
 be later still from another engine."""
 
-LATE_ANSWER = 1.6
+LATE_ANSWER_FACTOR = 1.6
 """The same for other answers, which take about as long on any endpoint."""
 
-STALL_PAUSES = 4.0
+STALL_PAUSE_FACTOR = 4.0
 """Multiple of its longest pause after which a silent stream is resumed
 elsewhere: callers wait for eight."""
 
-STALL_LEAST_S = 0.8
+STALL_MIN_S = 0.8
 
 SUFFIX_BYTES = 3
 """Random bytes that distinguish requests with the same caller-given id."""
@@ -63,13 +63,13 @@
     def __init__(
         self,
         documents: in_force.InForce,
-        relaying: relaying_module.Relaying,
+        runner: relaying_module.Relaying,
         protocol: protocol_module.CallerProtocol,
         lease: lease_module.DocumentLease,
         rng: random.Random,
     ):
         self._documents = documents
-        self._relaying = relaying
+        self._runner = runner
         self._protocol = protocol
         self._lease = lease
         self._rng = rng
@@ -80,9 +80,13 @@
         """Serves one request."""
         request_id = ids.new_request_id()
         try:
-            facts = self._protocol.read(environ[connection.HEADERS_KEY])
-            request_id = _request_id(facts)
-            return self._serve(environ, start_response, facts, request_id)
+            parsed_headers = self._protocol.read(
+                environ[connection.HEADERS_KEY]
+            )
+            request_id = _request_id(parsed_headers)
+            return self._serve(
+                environ, start_response, parsed_headers, request_id
+            )
         except errors.RouterError as error:
             failure = error
         except Exception as error:
@@ -95,7 +99,7 @@
         request_id: ids.RequestId,
         start_response: _StartResponse,
     ) -> abc.Iterable[bytes]:
-        self._relaying.services.metrics.error(error.kind, error.class_id)
+        self._runner.services.metrics.error(error.kind, error.class_id)
         answer = self._protocol.error(error, request_id)
         logs.decision(
             "answer",
@@ -118,10 +122,10 @@
         self,
         environ: dict[str, typing.Any],
         start_response: _StartResponse,
-        facts: protocol_module.CallFacts,
+        parsed_headers: protocol_module.CallFacts,
         request_id: ids.RequestId,
     ) -> abc.Iterable[bytes]:
-        applied = self._confirmed(environ, facts, request_id)
+        applied = self._confirmed(environ, parsed_headers, request_id)
         target = environ["REQUEST_URI"]
         path = target.partition("?")[0]
         route = applied.routes.match(environ.get("HTTP_HOST", ""), path)
@@ -129,13 +133,13 @@
             raise errors.RefusedError(
                 errors.ErrorKind.NOT_FOUND, "no route for this host and path"
             )
-        workspace = _workspace(route, facts, applied)
+        workspace = _workspace(route, parsed_headers, applied)
         body = _read_body(environ, applied.document.limits)
         call = self._call(
-            environ, facts, request_id, applied, route, workspace, body
+            environ, parsed_headers, request_id, applied, route, workspace, body
         )
-        relay = self._relaying.begin(
-            environ, call, self._relaying.run_plain, tells_breaks=False
+        relay = self._runner.begin(
+            environ, call, self._runner.run_plain, tells_breaks=False
         )
         start_response(
             _status_line(relay.head),
@@ -146,7 +150,7 @@
     def _confirmed(
         self,
         environ: dict[str, typing.Any],
-        facts: protocol_module.CallFacts,
+        parsed_headers: protocol_module.CallFacts,
         request_id: ids.RequestId,
     ) -> in_force.Applied:
         """Returns the document in force, once it is confirmed as the newest.
@@ -157,7 +161,7 @@
                 refused.
         """
         if not self._lease.holds:
-            self._hold(environ, facts, request_id)
+            self._hold(environ, parsed_headers, request_id)
         if not self._documents.revision:
             reason = "no document is in force yet"
         elif not self._lease.holds:
@@ -171,7 +175,7 @@
     def _hold(
         self,
         environ: dict[str, typing.Any],
-        facts: protocol_module.CallFacts,
+        parsed_headers: protocol_module.CallFacts,
         request_id: ids.RequestId,
     ) -> None:
         """Waits for a confirmation that is expected soon.
@@ -180,7 +184,7 @@
             errors.RefusedError: The caller left during the wait.
         """
         unconfirmed_s = self._lease.unconfirmed_s
-        limit_s = facts.limit_s or holding.STARTING_S
+        limit_s = parsed_headers.limit_s or holding.STARTING_S
         most_s = holding.hold_s(unconfirmed_s, limit_s)
         if most_s <= 0.0:
             return
@@ -202,7 +206,7 @@
     def _call(
         self,
         environ: dict[str, typing.Any],
-        facts: protocol_module.CallFacts,
+        parsed_headers: protocol_module.CallFacts,
         request_id: ids.RequestId,
         applied: in_force.Applied,
         route: schema.Route,
@@ -215,8 +219,8 @@
         service = document.services[name]
         arrived_s = environ[connection.ARRIVED_KEY]
         limit_s = request_class.target_total_s
-        if facts.limit_s is not None:
-            limit_s = min(limit_s, facts.limit_s)
+        if parsed_headers.limit_s is not None:
+            limit_s = min(limit_s, parsed_headers.limit_s)
         rank = document.rank_of(request_class.class_id, workspace)
         method, target = environ["REQUEST_METHOD"], environ["REQUEST_URI"]
         digest = _digest(workspace, method, target, body)
@@ -225,15 +229,15 @@
             workspace=workspace.workspace,
             class_id=request_class.class_id,
             service=name,
-            model=ids.ModelId(facts.model),
+            model=ids.ModelId(parsed_headers.model),
             rank=rank,
             arrived_s=arrived_s,
             target_first_token_s=request_class.target_first_token_s,
             deadline_s=arrived_s + limit_s,
-            prompt_tokens=facts.prompt_tokens,
-            max_tokens=facts.most_tokens,
-            prefix_key=_prefix_key(facts),
-            parts=facts.parts,
+            prompt_tokens=parsed_headers.prompt_tokens,
+            max_tokens=parsed_headers.most_tokens,
+            prefix_key=_prefix_key(parsed_headers),
+            parts=parsed_headers.parts,
             fingerprint=ids.Fingerprint(digest[:32]),
             repeatable=request_class.repeatable,
             max_runs=route.max_attempts,
@@ -251,23 +255,23 @@
             streams=job.streams,
             stall_limit_s=_stall_limit_s(route, service),
             first_byte_limit_s=_first_byte_limit_s(route, request_class),
-            headers=facts.forwarded,
-            caller_id=facts.caller_id,
+            headers=parsed_headers.forwarded,
+            caller_id=parsed_headers.caller_id,
             resumable=route.resumable,
-            resume_after=facts.resume_after,
+            resume_after=parsed_headers.resume_after,
         )
 
 
 def _stall_limit_s(route: schema.Route, service: schema.Service) -> float:
     if not (route.resumable and route.longest_pause_s):
         return service.stall_limit_s
-    return max(STALL_PAUSES * route.longest_pause_s, STALL_LEAST_S)
+    return max(STALL_PAUSE_FACTOR * route.longest_pause_s, STALL_MIN_S)
 
 
 def _first_byte_limit_s(
     route: schema.Route, request_class: schema.RequestClass
 ) -> float:
-    factor = LATE_STREAM if route.streams else LATE_ANSWER
+    factor = LATE_STREAM_FACTOR if route.streams else LATE_ANSWER_FACTOR
     return factor * request_class.target_first_token_s
 
 
@@ -276,21 +280,23 @@
     return f"{head.status} {reason}"
 
 
-def _request_id(facts: protocol_module.CallFacts) -> ids.RequestId:
+def _request_id(parsed_headers: protocol_module.CallFacts) -> ids.RequestId:
     # Two callers may use the same id at the same time. This instance tracks
     # requests by id, so the end of one would be taken for the end of the other.
     suffix = secrets.token_hex(SUFFIX_BYTES)
-    return ids.RequestId(f"{facts.caller_id}.{suffix}")
+    return ids.RequestId(f"{parsed_headers.caller_id}.{suffix}")
 
 
 def _workspace(
     route: schema.Route,
-    facts: protocol_module.CallFacts,
+    parsed_headers: protocol_module.CallFacts,
     applied: in_force.Applied,
 ) -> schema.Workspace:
     if route.anonymous:
         return applied.document.workspaces[schema.ANYBODY]
-    workspace = applied.keys.find(facts.key) if facts.key else None
+    workspace = (
+        applied.keys.find(parsed_headers.key) if parsed_headers.key else None
+    )
     if workspace is None:
         raise errors.RefusedError(
             errors.ErrorKind.UNAUTHENTICATED, "missing or unknown key"
@@ -318,10 +324,10 @@
     return hashlib.sha256(head + body).hexdigest()
 
 
-def _prefix_key(facts: protocol_module.CallFacts) -> str:
+def _prefix_key(parsed_headers: protocol_module.CallFacts) -> str:
     """Returns a key for the prompt prefix that requests may share.
 
     The last part is specific to the request or its session and is left out.
     """
-    shared = facts.parts[:-1]
+    shared = parsed_headers.parts[:-1]
     return "/".join(part.part for part in shared)
--- a/cardamombarrow/entry/side.py
+++ b/cardamombarrow/entry/side.py
@@ -23,13 +23,13 @@
         self,
         instance: ids.InstanceId,
         documents: in_force.InForce,
-        relaying: relaying_module.Relaying,
+        runner: relaying_module.Relaying,
         readiness: readiness_module.Readiness,
         lease: lease_module.DocumentLease,
     ):
         self._instance = instance
         self._documents = documents
-        self._relaying = relaying
+        self._runner = runner
         self._readiness = readiness
         self._lease = lease
 
@@ -43,7 +43,7 @@
     def _answer(self, path: str) -> wrappers.Response:
         if path == "/metrics":
             return wrappers.Response(
-                self._relaying.metrics_text(),
+                self._runner.metrics_text(),
                 content_type="text/plain; version=0.0.4",
             )
         if path == "/v1/instance":
@@ -59,10 +59,10 @@
             "revision": self._documents.revision,
             "document_age_s": round(self._lease.age_s, 3),
             "not_ready": self._readiness.reason(),
-            "held": self._relaying.held,
+            "held": self._runner.held,
             "endpoints": [
                 dataclasses.asdict(view)
-                for view in self._relaying.services.broker.views()
+                for view in self._runner.services.broker.views()
             ],
         }
         return wrappers.Response(
--- a/cardamombarrow/reports/core.py
+++ b/cardamombarrow/reports/core.py
@@ -13,7 +13,7 @@
 
 __all__ = ["ClassReport", "Refused", "Settled", "collect", "events", "lines"]
 
-LONGEST_MS = 3_600_000
+MAX_FIRST_TOKEN_MS = 3_600_000
 SIGNIFICANT_DIGITS = 2
 
 
@@ -83,7 +83,7 @@
     wasted_tokens: int = 0
     first_token_ms: histogram.HdrHistogram = dataclasses.field(
         default_factory=lambda: histogram.HdrHistogram(
-            1, LONGEST_MS, SIGNIFICANT_DIGITS
+            1, MAX_FIRST_TOKEN_MS, SIGNIFICANT_DIGITS
         )
     )
 
@@ -163,5 +163,7 @@
         report.useful_tokens += event.tokens
         if event.first_token_s is not None:
             first_ms = max(1, round(event.first_token_s * 1_000))
-            report.first_token_ms.record_value(min(first_ms, LONGEST_MS))
+            report.first_token_ms.record_value(
+                min(first_ms, MAX_FIRST_TOKEN_MS)
+            )
     return reports
