--- a/benchmarks/placing_cost.py
+++ b/benchmarks/placing_cost.py
@@ -23,7 +23,7 @@
 from cardamombarrow.peers import placing_client
 from cardamombarrow.peers import placing_service
 from cardamombarrow.peers import server as server_module
-from cardamombarrow.placing import order as order_module
+from cardamombarrow.placing import ranking as ranking_module
 from tools import deployment
 
 __all__ = ["main"]
@@ -70,7 +70,7 @@
         self.broker.start()
         self.loop.start()
         self.server.start()
-        self.broker.set_asking(self.client)
+        self.broker.set_remote_placer(self.client)
         self.client.start()
 
 
@@ -112,7 +112,7 @@
     for entry in entries.values():
         entry.start()
     time.sleep(START_S)
-    order = order_module.PlacerOrder()
+    order = ranking_module.PlacerRanking()
     order.set_members(names)
     asker = next(
         entry
--- a/cardamombarrow/entry/broker.py
+++ b/cardamombarrow/entry/broker.py
@@ -13,8 +13,8 @@
 import dataclasses
 
 from cardamombarrow.decisions import messages
+from cardamombarrow.entry import broker_base
 from cardamombarrow.entry import decision_lines
-from cardamombarrow.entry import knowing
 from cardamombarrow.entry import ticket as ticket_module
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
@@ -34,7 +34,7 @@
 the state of the placer, so the request is decided locally instead."""
 
 
-class Broker(knowing.KnowingBroker):
+class Broker(broker_base.BrokerBase):
     """A dispatcher shared by the request threads of an entry."""
 
     def submit(self, job: messages.Job) -> ticket_module.Ticket:
@@ -68,7 +68,7 @@
         return ticket
 
     def _use_placer(self, job: messages.Job, now_s: float) -> bool:
-        return self._remote_placer.takes() and self._dispatcher.may_ask(
+        return self._remote_placer.is_connected() and self._dispatcher.may_ask(
             job, now_s
         )
 
@@ -131,7 +131,7 @@
         """Records that a request's first token has arrived."""
         with self._lock:
             self._dispatcher.first_token(request_id, self._clock.now_s())
-            self._remote_placer.began(request_id)
+            self._remote_placer.first_token_received(request_id)
             lines = self._run_due()
         decision_lines.write(lines)
 
@@ -327,7 +327,7 @@
         if job.streams:
             now_s = self._clock.now_s()
             run = placing_messages.Run(job, placement.endpoint, now_s)
-            self._remote_placer.ran(run)
+            self._remote_placer.run_started(run)
 
 
 def _not_applied(decision: messages.Decision) -> str:
--- a/cardamombarrow/entry/knowing.py
+++ b/cardamombarrow/entry/broker_base.py
@@ -15,17 +15,17 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.decisions import rate_limits as rate_limits_module
 from cardamombarrow.document import schema
-from cardamombarrow.entry import asking as asking_module
 from cardamombarrow.entry import decision_lines
+from cardamombarrow.entry import remote_placer as remote_placer_module
 from cardamombarrow.entry import ticket as ticket_module
 from cardamombarrow.kernel import clock
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import lifecycle
 from cardamombarrow.kernel import logs
 
-__all__ = ["EndpointView", "KnowingBroker"]
+__all__ = ["BrokerBase", "EndpointView"]
 
-SHARES_S = 0.25
+SHARE_REFRESH_S = 0.25
 """Interval at which this instance's slots are recomputed.
 
 Peers' demand and load reports arrive about once a second; four updates in
@@ -55,7 +55,7 @@
     report_age_s: float | None
 
 
-class KnowingBroker(lifecycle.Part):
+class BrokerBase(lifecycle.Part):
     """A dispatcher whose state is updated from several threads."""
 
     def __init__(
@@ -78,8 +78,10 @@
             rate_limits=rate_limits or rate_limits_module.RateLimits(),
             whole_domain=whole_domain,
         )
-        self._remote_placer: asking_module.Asking = asking_module.NobodyAsked()
-        self._domain_broker: KnowingBroker | None = None
+        self._remote_placer: remote_placer_module.RemotePlacer = (
+            remote_placer_module.NoRemotePlacer()
+        )
+        self._domain_broker: BrokerBase | None = None
         self._dispatcher = core.Dispatcher(context, time_source.now_s())
         self._lock = threading.Lock()
         self._wake = threading.Condition(self._lock)
@@ -103,11 +105,13 @@
         if self._domain_broker is not None:
             self._domain_broker.stop()
 
-    def set_asking(self, remote_placer: asking_module.Asking) -> None:
+    def set_remote_placer(
+        self, remote_placer: remote_placer_module.RemotePlacer
+    ) -> None:
         """Sets the placer to be asked from now on."""
         self._remote_placer = remote_placer
 
-    def for_domain(self) -> "KnowingBroker":
+    def for_domain(self) -> "BrokerBase":
         """Returns a started broker for all requests of the domain.
 
         It is built at the first call from this broker's documents, endpoints
@@ -132,19 +136,19 @@
         return self._domain_broker
 
     def _run_timer(self) -> None:
-        shares_s = self._clock.now_s()
-        while self._sleep(shares_s):
+        refresh_at_s = self._clock.now_s()
+        while self._sleep(refresh_at_s):
             now_s = self._clock.now_s()
-            refresh = now_s >= shares_s
+            refresh = now_s >= refresh_at_s
             if refresh:
-                shares_s = now_s + SHARES_S
+                refresh_at_s = now_s + SHARE_REFRESH_S
             try:
                 self._look(refresh, now_s)
             except Exception as error:
                 # Without the timer thread, waiting requests would get no
                 # answer at their deadlines while the entry goes on serving.
                 logs.event("broker timer failed", "ERROR", detail=repr(error))
-                time.sleep(SHARES_S)
+                time.sleep(SHARE_REFRESH_S)
 
     def _look(self, refresh: bool, now_s: float) -> None:
         with self._lock:
@@ -235,7 +239,7 @@
     ) -> None:
         """Records a load report that came with an endpoint's answer."""
         self.report(endpoint, report)
-        self._remote_placer.loaded(endpoint, report)
+        self._remote_placer.load_reported(endpoint, report)
 
     def answer_rate_limit(
         self, endpoint: ids.EndpointId, limit: messages.RateLimit
--- a/cardamombarrow/entry/metrics.py
+++ b/cardamombarrow/entry/metrics.py
@@ -95,9 +95,9 @@
         self._wasted: collections.Counter[messages.Outcome] = (
             collections.Counter()
         )
-        self._questions: collections.Counter[placing_messages.AskedOutcome] = (
-            collections.Counter()
-        )
+        self._questions: collections.Counter[
+            placing_messages.QuestionOutcome
+        ] = collections.Counter()
         self._goodput_tokens = 0
         self._sent_under_limit = 0
         self.waiting = 0
@@ -139,7 +139,7 @@
             if class_id is not None and kind not in _NOT_MISSED:
                 self._requests[class_id, False] += 1
 
-    def asked(self, outcome: placing_messages.AskedOutcome) -> None:
+    def asked(self, outcome: placing_messages.QuestionOutcome) -> None:
         """Counts the outcome of a question to the placer."""
         with self._lock:
             self._questions[outcome] += 1
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -317,7 +317,7 @@
                     count=counts.asked,
                 ),
             )
-            broker.set_asking(self._remote_placer)
+            broker.set_remote_placer(self._remote_placer)
         return poller
 
     def _hooks(self) -> gossip_node.GossipHooks:
--- a/cardamombarrow/entry/placer.py
+++ b/cardamombarrow/entry/placer.py
@@ -21,7 +21,7 @@
 """Maximum of waiting and running requests per owner: twice the connections
 that an entry serves at once."""
 
-Send = abc.Callable[[placing_messages.Answer | placing_messages.Waits], None]
+Send = abc.Callable[[placing_messages.Answer | placing_messages.Queued], None]
 
 
 class Owner:
@@ -130,7 +130,7 @@
             lambda: owner.send(placing_messages.Answer(decision))
         )
         if not ticket.placed.done():
-            owner.send(placing_messages.Waits(job.request_id))
+            owner.send(placing_messages.Queued(job.request_id))
         ticket.placed.add_done_callback(
             lambda _: self._post(lambda: self._answer(owner, ticket))
         )
@@ -156,7 +156,9 @@
         if self._broker.take_run(run):
             owner.runs.add(run.job.request_id)
 
-    def begun(self, owner: Owner, request_id: ids.RequestId) -> None:
+    def first_token_received(
+        self, owner: Owner, request_id: ids.RequestId
+    ) -> None:
         """Records that a request's first event has arrived."""
         if request_id in owner.tickets or request_id in owner.runs:
             self._broker.first_token(request_id)
@@ -210,7 +212,7 @@
         if self._broker is not None:
             self._broker.forget_others(instance)
 
-    def loaded(
+    def load_reported(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
         """Records the load report that came with an answer to an entry."""
--- a/cardamombarrow/entry/asking.py
+++ b/cardamombarrow/entry/remote_placer.py
@@ -6,10 +6,10 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.placing import messages as placing_messages
 
-__all__ = ["Asking", "NobodyAsked"]
+__all__ = ["NoRemotePlacer", "RemotePlacer"]
 
 
-class Asking(abc.ABC):
+class RemotePlacer(abc.ABC):
     """The domain's placer, as seen by an entry's broker.
 
     All methods return immediately and may be called under the broker's lock.
@@ -18,7 +18,7 @@
     """
 
     @abc.abstractmethod
-    def takes(self) -> bool:
+    def is_connected(self) -> bool:
         """Returns whether a placer is connected now."""
 
     @abc.abstractmethod
@@ -30,11 +30,11 @@
         """Withdraws a question."""
 
     @abc.abstractmethod
-    def ran(self, run: placing_messages.Run) -> None:
+    def run_started(self, run: placing_messages.Run) -> None:
         """Reports a request that this entry placed by its own decision."""
 
     @abc.abstractmethod
-    def began(self, request_id: ids.RequestId) -> None:
+    def first_token_received(self, request_id: ids.RequestId) -> None:
         """Reports that a request's first event has arrived."""
 
     @abc.abstractmethod
@@ -44,16 +44,16 @@
         """Reports that a request's run on its endpoint has ended."""
 
     @abc.abstractmethod
-    def loaded(
+    def load_reported(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
         """Forwards the load report that came with an endpoint's answer."""
 
 
-class NobodyAsked(Asking):
+class NoRemotePlacer(RemotePlacer):
     """No placer: the entry decides by itself."""
 
-    def takes(self) -> bool:
+    def is_connected(self) -> bool:
         """Returns False."""
         return False
 
@@ -63,10 +63,10 @@
     def withdraw(self, request_id: ids.RequestId) -> None:
         """Does nothing."""
 
-    def ran(self, run: placing_messages.Run) -> None:
+    def run_started(self, run: placing_messages.Run) -> None:
         """Does nothing."""
 
-    def began(self, request_id: ids.RequestId) -> None:
+    def first_token_received(self, request_id: ids.RequestId) -> None:
         """Does nothing."""
 
     def ended(
@@ -74,7 +74,7 @@
     ) -> None:
         """Does nothing."""
 
-    def loaded(
+    def load_reported(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
         """Does nothing."""
--- a/cardamombarrow/entry/tests/test_broker.py
+++ b/cardamombarrow/entry/tests/test_broker.py
@@ -10,7 +10,7 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.document import parsing
 from cardamombarrow.entry import broker as broker_module
-from cardamombarrow.entry import knowing
+from cardamombarrow.entry import broker_base
 from cardamombarrow.entry import ticket as ticket_module
 from cardamombarrow.kernel import clock
 from cardamombarrow.kernel import errors
@@ -157,4 +157,4 @@
         lambda *args: calls.append(args) or look(*args),
     )
     time.sleep(1.0)
-    assert len(calls) <= 1.0 / knowing.SHARES_S + 1
+    assert len(calls) <= 1.0 / broker_base.SHARE_REFRESH_S + 1
--- a/cardamombarrow/peers/membership.py
+++ b/cardamombarrow/peers/membership.py
@@ -23,7 +23,7 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import logs
 from cardamombarrow.peers import rate_limit_news
-from cardamombarrow.placing import order as order_module
+from cardamombarrow.placing import ranking as ranking_module
 
 __all__ = ["Membership"]
 
@@ -381,7 +381,7 @@
     ) -> None:
         """Takes the live instances, and those that are gone."""
         self._members = members | {self._instance}
-        delegate = order_module.first_member(self._members)
+        delegate = ranking_module.default_placer(self._members)
         self._broker.set_delegate(delegate == self._instance)
         for instance in gone:
             self._broker.forget_peer(instance)
--- a/cardamombarrow/peers/placing_client.py
+++ b/cardamombarrow/peers/placing_client.py
@@ -11,7 +11,7 @@
 import time
 
 from cardamombarrow.decisions import messages
-from cardamombarrow.entry import asking
+from cardamombarrow.entry import remote_placer
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import logs
 from cardamombarrow.peers import loop as loop_module
@@ -19,7 +19,7 @@
 from cardamombarrow.peers import placing_link
 from cardamombarrow.peers import placing_pb2
 from cardamombarrow.placing import messages as placing_messages
-from cardamombarrow.placing import order as order_module
+from cardamombarrow.placing import ranking as ranking_module
 
 __all__ = ["ANSWER_S", "ClientHooks", "PlacingClient"]
 
@@ -34,7 +34,7 @@
 LOOK_S = 0.2
 """Time between two looks at whom to ask and at whether it is silent."""
 
-_Asked = placing_messages.AskedOutcome
+_Asked = placing_messages.QuestionOutcome
 
 
 @dataclasses.dataclass(frozen=True)
@@ -55,11 +55,11 @@
     runs: abc.Callable[[], list[placing_messages.Run]]
     on_answer: abc.Callable[[placing_messages.Answer, str, float], bool]
     fall_back: abc.Callable[[ids.RequestId, str], None]
-    count: abc.Callable[[placing_messages.AskedOutcome], None]
+    count: abc.Callable[[placing_messages.QuestionOutcome], None]
 
 
-class PlacingClient(asking.Asking, loop_module.LoopPart):
-    """Asks the placer; methods of `Asking` may be called from any thread."""
+class PlacingClient(remote_placer.RemotePlacer, loop_module.LoopPart):
+    """Asks the placer; methods of `RemotePlacer` are thread-safe."""
 
     def __init__(
         self,
@@ -72,13 +72,13 @@
         self._instance = instance
         self._secret = secret
         self._hooks = hooks
-        self._order = order_module.PlacerOrder()
+        self._order = ranking_module.PlacerRanking()
         self._link: placing_link.PlacingLink | None = None
         self._moving: asyncio.Task[None] | None = None
 
     # -- what the entry calls, from any thread --------------------------------
 
-    def takes(self) -> bool:
+    def is_connected(self) -> bool:
         """Tells whether a question would reach a placer now."""
         return self._link is not None
 
@@ -91,12 +91,12 @@
         """Takes a question back."""
         self._loop.soon(lambda: self._withdraw(request_id))
 
-    def ran(self, run: placing_messages.Run) -> None:
+    def run_started(self, run: placing_messages.Run) -> None:
         """Tells of a request that this entry has sent by its own decision."""
         if self._link is not None:
             self._loop.soon(lambda: self._ran(run))
 
-    def began(self, request_id: ids.RequestId) -> None:
+    def first_token_received(self, request_id: ids.RequestId) -> None:
         """Tells that a request's first event came."""
         if self._link is not None:
             self._loop.soon(lambda: self._began(request_id))
@@ -108,7 +108,7 @@
         if self._link is not None:
             self._loop.soon(lambda: self._ended(request_id, outcome, tokens))
 
-    def loaded(
+    def load_reported(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
         """Tells what an answer said of its endpoint's load."""
@@ -200,7 +200,7 @@
     ) -> None:
         for answer in placing_codec.answers_from_wire(reply):
             link.late = 0
-            if isinstance(answer, placing_messages.Waits):
+            if isinstance(answer, placing_messages.Queued):
                 self._waits(link, answer.request_id)
             elif isinstance(answer.decision, messages.Preemption):
                 self._hooks.on_answer(answer, link.instance, 0.0)
--- a/cardamombarrow/peers/placing_codec.py
+++ b/cardamombarrow/peers/placing_codec.py
@@ -152,12 +152,12 @@
 
 
 def answers_to_wire(
-    answers: abc.Iterable[placing_messages.Answer | placing_messages.Waits],
+    answers: abc.Iterable[placing_messages.Answer | placing_messages.Queued],
 ) -> placing_pb2.PlacingReply:
     """Converts what is told at a time."""
     reply = placing_pb2.PlacingReply()
     for answer in answers:
-        if isinstance(answer, placing_messages.Waits):
+        if isinstance(answer, placing_messages.Queued):
             reply.waiting.append(answer.request_id)
         elif isinstance(answer.decision, messages.Placement):
             reply.placed.append(_placed_to_wire(answer, answer.decision))
@@ -204,14 +204,14 @@
 
 def answers_from_wire(
     wire: placing_pb2.PlacingReply,
-) -> abc.Iterator[placing_messages.Answer | placing_messages.Waits]:
+) -> abc.Iterator[placing_messages.Answer | placing_messages.Queued]:
     """Yields what was told at a time.
 
     An error kind of another version is taken for `NOT_READY`: the entry then
     decides by itself.
     """
     for request_id in wire.waiting:
-        yield placing_messages.Waits(ids.RequestId(request_id))
+        yield placing_messages.Queued(ids.RequestId(request_id))
     for placed in wire.placed:
         yield _placed_from_wire(placed)
     for refused in wire.refused:
--- a/cardamombarrow/peers/placing_service.py
+++ b/cardamombarrow/peers/placing_service.py
@@ -43,12 +43,12 @@
 
     def __init__(self):
         self._answers: list[
-            placing_messages.Answer | placing_messages.Waits
+            placing_messages.Answer | placing_messages.Queued
         ] = []
         self._wake = asyncio.Event()
 
     def put(
-        self, answer: placing_messages.Answer | placing_messages.Waits
+        self, answer: placing_messages.Answer | placing_messages.Queued
     ) -> None:
         """Adds an answer."""
         self._answers.append(answer)
@@ -154,7 +154,9 @@
                 run = placing_codec.run_from_wire(event.run, now_s)
                 self._placer.run(owner, run)
             case "begun":
-                self._placer.begun(owner, ids.RequestId(event.begun))
+                self._placer.first_token_received(
+                    owner, ids.RequestId(event.begun)
+                )
             case "ended":
                 end = event.ended
                 outcome = placing_codec.outcome_from_wire(end.outcome)
@@ -167,7 +169,9 @@
                 report = messages.LoadReport(
                     load.running, load.waiting, 0.0, False, now_s
                 )
-                self._placer.loaded(ids.EndpointId(load.endpoint), report)
+                self._placer.load_reported(
+                    ids.EndpointId(load.endpoint), report
+                )
 
 
 async def _send(
--- a/cardamombarrow/peers/tests/test_placing.py
+++ b/cardamombarrow/peers/tests/test_placing.py
@@ -20,7 +20,7 @@
 from cardamombarrow.peers import placing_pb2
 from cardamombarrow.peers import placing_service
 from cardamombarrow.peers import server as server_module
-from cardamombarrow.placing import order as order_module
+from cardamombarrow.placing import ranking as ranking_module
 from tools import deployment
 from tools import proxy
 
@@ -93,7 +93,7 @@
         self.broker.start()
         self.loop.start()
         self.listen()
-        self.broker.set_asking(self.client)
+        self.broker.set_remote_placer(self.client)
         self.client.start()
 
     def listen(self) -> None:
@@ -145,7 +145,7 @@
     """Two entries that know each other; the first one places."""
     document = parsing.parse(kandula_text)
     made = [_Entry(f"entry-{number}", document) for number in (1, 2)]
-    order = order_module.PlacerOrder()
+    order = ranking_module.PlacerRanking()
     order.set_members([each.name for each in made])
     made.sort(key=lambda each: each.name != order.first(0.0))
     members = {each.name: each.address for each in made}
--- a/cardamombarrow/peers/tests/test_placing_codec.py
+++ b/cardamombarrow/peers/tests/test_placing_codec.py
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        placing_messages.Waits(_ID),
+        placing_messages.Queued(_ID),
         placing_messages.Answer(
             messages.Placement(_ID, _ENGINE, 0.25, (), "why"), 8.0, 40.0
         ),
--- a/cardamombarrow/placing/messages.py
+++ b/cardamombarrow/placing/messages.py
@@ -6,10 +6,10 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
-__all__ = ["Answer", "AskedOutcome", "Run", "Waits"]
+__all__ = ["Answer", "QuestionOutcome", "Queued", "Run"]
 
 
-class AskedOutcome(enum.Enum):
+class QuestionOutcome(enum.Enum):
     """Outcome of a question to the placer.
 
     Attributes:
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waits:
+class Queued:
     """The request is queued at the placer; its decision follows later."""
 
     request_id: ids.RequestId
--- a/cardamombarrow/placing/order.py
+++ b/cardamombarrow/placing/ranking.py
@@ -18,7 +18,7 @@
 
 from cardamombarrow.kernel import ids
 
-__all__ = ["PAUSE_FIRST_S", "PAUSE_MOST_S", "PlacerOrder", "first_member"]
+__all__ = ["PAUSE_FIRST_S", "PAUSE_MOST_S", "PlacerRanking", "default_placer"]
 
 PAUSE_FIRST_S = 1.0
 """Time for which an instance is avoided after its first failure: about that of
@@ -40,7 +40,7 @@
         self.until_s = now_s + self.pause_s
 
 
-class PlacerOrder:
+class PlacerRanking:
     """Ranks the members of a domain and skips those that failed recently."""
 
     def __init__(self):
@@ -86,7 +86,7 @@
         self._backoffs.pop(instance, None)
 
 
-def first_member(members: abc.Iterable[ids.InstanceId]) -> ids.InstanceId:
+def default_placer(members: abc.Iterable[ids.InstanceId]) -> ids.InstanceId:
     """Returns the placer while no member has failed."""
     return max(members, key=_weight)
 
--- a/cardamombarrow/placing/tests/test_order.py
+++ b/cardamombarrow/placing/tests/test_ranking.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from cardamombarrow.placing import order as order_module
+from cardamombarrow.placing import ranking as ranking_module
 
 _MEMBERS = [f"entry-{number}" for number in range(12)]
 
 
 def _order(members=_MEMBERS):
-    order = order_module.PlacerOrder()
+    order = ranking_module.PlacerRanking()
     order.set_members(members)
     return order
 
@@ -47,12 +47,12 @@
         while order.first(now_s) != first:
             now_s += 0.25
         pauses_s.append(now_s - failed_s)
-    assert pauses_s[0] == order_module.PAUSE_FIRST_S
+    assert pauses_s[0] == ranking_module.PAUSE_FIRST_S
     assert pauses_s[:4] == [1.0, 2.0, 4.0, 8.0]
-    assert max(pauses_s) == order_module.PAUSE_MOST_S
+    assert max(pauses_s) == ranking_module.PAUSE_MOST_S
     order.answered(first)
     order.failed(first, now_s)
-    assert order.first(now_s + order_module.PAUSE_FIRST_S) == first
+    assert order.first(now_s + ranking_module.PAUSE_FIRST_S) == first
 
 
 def test_no_placer_is_selected_after_all_have_failed():
@@ -60,7 +60,7 @@
     for _ in range(3):
         order.failed(order.first(0.0), 0.0)
     assert order.first(0.0) is None
-    assert order.first(order_module.PAUSE_FIRST_S) is not None
+    assert order.first(ranking_module.PAUSE_FIRST_S) is not None
 
 
 def test_the_pause_of_a_removed_member_is_dropped():
