--- a/cardamombarrow/cli/report.py
+++ b/cardamombarrow/cli/report.py
@@ -38,7 +38,7 @@
             stack.enter_context(path.open(encoding="utf-8", errors="replace"))
             for path in arguments.log
         ] or [sys.stdin]
-        reports = core.collect(core.events(core.lines(files)))
+        reports = core.collect(core.parse_decisions(core.read_decisions(files)))
     classes: dict[ids.ClassId, schema.RequestClass] = {}
     if arguments.document:
         text = arguments.document.read_text(encoding="utf-8")
@@ -48,7 +48,7 @@
     broken = [
         class_id
         for class_id, item in reports.items()
-        if class_id in classes and not item.kept(classes[class_id])
+        if class_id in classes and not item.attained(classes[class_id])
     ]
     return exit_codes.ExitCode.PROMISE_BROKEN if broken else 0
 
@@ -69,7 +69,7 @@
             f"{class_id:<20}{item.answered:>9}{item.ended['done']:>8}"
             f"{item.refused.total():>8}{share:>10.2%}"
             f"{sold.attainment_share if sold else '-':>7}"
-            f"{('yes' if item.kept(sold) else 'NO') if sold else '-':>6}"
+            f"{('yes' if item.attained(sold) else 'NO') if sold else '-':>6}"
             f"{item.first_token_ms.get_value_at_percentile(95):>8}"
             f"{item.useful_tokens:>9}{item.wasted_tokens:>8}"
         )
--- a/cardamombarrow/entry/pieces.py
+++ b/cardamombarrow/entry/answer_stream.py
@@ -7,13 +7,13 @@
 from cardamombarrow.kernel import errors
 
 __all__ = [
+    "BUFFERED_ANSWER_BYTES",
     "EVENT_END",
     "OUTCOMES",
-    "WHOLE_BYTES",
+    "complete_events",
     "failure_of",
-    "is_short",
+    "is_buffered",
     "outcome_of",
-    "whole_events",
 ]
 
 OUTCOMES = {
@@ -31,7 +31,7 @@
 
 EVENT_END = b"\n\n"
 
-WHOLE_BYTES = 65_536
+BUFFERED_ANSWER_BYTES = 65_536
 """Answers with an announced length up to this are read completely before any
 of it is sent: one that is cut off can then be retried, or is reported as a
 failure instead of a partial answer."""
@@ -51,18 +51,18 @@
     return messages.Outcome.DONE if error is None else OUTCOMES[error.kind]
 
 
-def is_short(head: endpoints_base.Head) -> bool:
+def is_buffered(head: endpoints_base.Head) -> bool:
     """Returns whether an answer is read completely before any of it is sent."""
     length = head.headers.get("content-length", "")
     return (
         not head.streams
         and length.isascii()
         and length.isdigit()
-        and int(length) <= WHOLE_BYTES
+        and int(length) <= BUFFERED_ANSWER_BYTES
     )
 
 
-def whole_events(chunks: abc.Iterator[bytes]) -> abc.Iterator[bytes]:
+def complete_events(chunks: abc.Iterator[bytes]) -> abc.Iterator[bytes]:
     """Yields only complete events; buffers a partial one.
 
     A resumed stream continues with a complete event. If part of an event had
--- a/cardamombarrow/entry/app.py
+++ b/cardamombarrow/entry/app.py
@@ -8,10 +8,10 @@
 from werkzeug import wrappers
 
 from cardamombarrow.entry import answers
+from cardamombarrow.entry import call_runner as call_runner_module
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import incoming
 from cardamombarrow.entry import readiness as readiness_module
-from cardamombarrow.entry import relaying as relaying_module
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 
@@ -47,8 +47,8 @@
     def __init__(
         self,
         instance: ids.InstanceId,
-        documents: in_force.InForce,
-        runner: relaying_module.Relaying,
+        documents: in_force.DocumentInForce,
+        runner: call_runner_module.CallRunner,
         readiness: readiness_module.Readiness,
         body_limit_bytes: int,
     ):
@@ -159,7 +159,7 @@
             if call.job.repeatable
             else runner.run_claimed(call)
         )
-        relay = runner.begin(request.environ, call, run, tells_breaks=True)
+        relay = runner.begin(request.environ, call, run, sends_error_event=True)
         headers = {
             name: relay.head.headers[name]
             for name in _RELAYED_HEADERS
--- a/cardamombarrow/entry/relaying.py
+++ b/cardamombarrow/entry/call_runner.py
@@ -9,13 +9,13 @@
 from cardamombarrow.entry import gate as gate_module
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import incoming
-from cardamombarrow.entry import life
 from cardamombarrow.entry import once
 from cardamombarrow.entry import readiness as readiness_module
+from cardamombarrow.entry import request_handler
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 
-__all__ = ["Relaying"]
+__all__ = ["CallRunner"]
 
 NO_BODY_STATUSES = (204, 304)
 
@@ -24,7 +24,7 @@
 another one."""
 
 
-class Relaying:
+class CallRunner:
     """Request handling shared by the applications of an entry.
 
     Attributes:
@@ -34,8 +34,8 @@
     def __init__(
         self,
         instance: ids.InstanceId,
-        documents: in_force.InForce,
-        services: life.LifeServices,
+        documents: in_force.DocumentInForce,
+        services: request_handler.RequestServices,
         gate: gate_module.Gate,
         readiness: readiness_module.Readiness,
     ):
@@ -62,18 +62,20 @@
         self,
         environ: dict[str, typing.Any],
         call: incoming.IncomingCall,
-        run: abc.Callable[[life.Life], life.Relay],
+        run: abc.Callable[
+            [request_handler.RequestHandler], request_handler.RelayedAnswer
+        ],
         *,
-        tells_breaks: bool,
-    ) -> life.Relay:
+        sends_error_event: bool,
+    ) -> request_handler.RelayedAnswer:
         """Runs a call until its answer begins.
 
         Args:
             environ: The WSGI environment.
             call: The call.
             run: Runs the call; `run_plain`, or the result of `run_claimed`.
-            tells_breaks: Whether a stream that is cut off ends with an error
-                event; otherwise the connection is broken.
+            sends_error_event: Whether a stream that is cut off ends with an
+                error event; otherwise the connection is broken.
 
         Raises:
             errors.RouterError: It was refused or failed.
@@ -93,37 +95,47 @@
         except errors.RouterError as error:
             error.class_id = call.job.class_id
             raise
-        chunks = self._chunks(relay, call.job, tells_breaks)
+        chunks = self._chunks(relay, call.job, sends_error_event)
         method = environ["REQUEST_METHOD"]
         if relay.head.status in NO_BODY_STATUSES or method == "HEAD":
             # werkzeug neither iterates nor closes the body of these answers:
             # the endpoint's slot would never be released.
             chunks = iter(list(chunks))
-        return life.Relay(relay.head, chunks)
+        return request_handler.RelayedAnswer(relay.head, chunks)
 
     def _run(
         self,
         environ: dict[str, typing.Any],
         call: incoming.IncomingCall,
-        run: abc.Callable[[life.Life], life.Relay],
-    ) -> life.Relay:
+        run: abc.Callable[
+            [request_handler.RequestHandler], request_handler.RelayedAnswer
+        ],
+    ) -> request_handler.RelayedAnswer:
         try:
             watch = caller_module.SocketWatch(environ["werkzeug.socket"])
-            return run(life.Life(call, watch, self.services))
+            return run(
+                request_handler.RequestHandler(call, watch, self.services)
+            )
         except BaseException:
             self._gate.leave(call.job)
             raise
 
-    def run_plain(self, handler: life.Life) -> life.Relay:
+    def run_plain(
+        self, handler: request_handler.RequestHandler
+    ) -> request_handler.RelayedAnswer:
         """Runs a call without a claim."""
         return handler.run()
 
     def run_claimed(
         self, call: incoming.IncomingCall
-    ) -> abc.Callable[[life.Life], life.Relay]:
+    ) -> abc.Callable[
+        [request_handler.RequestHandler], request_handler.RelayedAnswer
+    ]:
         """Returns a function that runs a call under a claim in the ledger."""
 
-        def run(handler: life.Life) -> life.Relay:
+        def run(
+            handler: request_handler.RequestHandler,
+        ) -> request_handler.RelayedAnswer:
             return once.run_once(
                 call, handler, self.services.ledger, self._instance
             )
@@ -131,13 +143,16 @@
         return run
 
     def _chunks(
-        self, relay: life.Relay, job: messages.Job, tells_breaks: bool
+        self,
+        relay: request_handler.RelayedAnswer,
+        job: messages.Job,
+        sends_error_event: bool,
     ) -> abc.Iterator[bytes]:
         try:
             yield from relay.chunks
         except errors.RouterError as error:
             self.services.metrics.error(error.kind, job.class_id)
-            if not (relay.head.streams and tells_breaks):
+            if not (relay.head.streams and sends_error_event):
                 # The caller detects the cut by a missing last chunk or by
                 # fewer bytes than announced.
                 raise
--- a/cardamombarrow/entry/core.py
+++ b/cardamombarrow/entry/core.py
@@ -12,20 +12,20 @@
 from cardamombarrow.endpoints import base as endpoints_base
 from cardamombarrow.entry import app as app_module
 from cardamombarrow.entry import broker as broker_module
-from cardamombarrow.entry import crashes
+from cardamombarrow.entry import call_runner as call_runner_module
+from cardamombarrow.entry import crash_detector
 from cardamombarrow.entry import gate as gate_module
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import lease as lease_module
-from cardamombarrow.entry import life
 from cardamombarrow.entry import metrics
 from cardamombarrow.entry import peering as peering_module
 from cardamombarrow.entry import protocol as protocol_module
 from cardamombarrow.entry import readiness as readiness_module
-from cardamombarrow.entry import relaying as relaying_module
+from cardamombarrow.entry import request_handler
 from cardamombarrow.entry import routed
 from cardamombarrow.entry import settings as settings_module
 from cardamombarrow.entry import side as side_module
-from cardamombarrow.entry import starting as starting_module
+from cardamombarrow.entry import startup_app as startup_app_module
 from cardamombarrow.kernel import clock
 from cardamombarrow.kernel import http
 from cardamombarrow.kernel import ids
@@ -62,7 +62,7 @@
     def __init__(
         self,
         readiness: readiness_module.Readiness,
-        runner: relaying_module.Relaying,
+        runner: call_runner_module.CallRunner,
         calls: settings_module.CallSettings,
     ):
         self._readiness = readiness
@@ -99,8 +99,8 @@
 
 def _app(
     settings: settings_module.EntrySettings,
-    documents: in_force.InForce,
-    runner: relaying_module.Relaying,
+    documents: in_force.DocumentInForce,
+    runner: call_runner_module.CallRunner,
     readiness: readiness_module.Readiness,
     lease: lease_module.DocumentLease,
 ) -> typing.Any:
@@ -160,11 +160,11 @@
     source = registry.lookup(discovery.SLOT, settings.platform.discovery)()
     instance = ids.InstanceId(settings.instance.id)
     domain = ids.DomainId(settings.instance.domain)
-    documents = in_force.InForce()
+    documents = in_force.DocumentInForce()
     time_source = clock.SystemClock()
     peering = peering_module.Peering(settings, documents, time_source)
-    startup = starting_module.Starting(starting_module.HOLD_S)
-    side_startup = starting_module.Starting()
+    startup = startup_app_module.StartupApp(startup_app_module.HOLD_S)
+    side_startup = startup_app_module.StartupApp()
     web = http.HttpServer(settings.http, startup)
     side = _side_servers(settings, side_startup)
     for server in (web, *side):
@@ -186,22 +186,22 @@
     ledger = settler.Settler(
         ledger_client.RemoteLedger(peering.control.propose)
     )
-    services = life.LifeServices(
+    services = request_handler.RequestServices(
         broker,
         ledger,
         kinds,
         time_source,
-        crashes.Crashes(broker),
+        crash_detector.CrashDetector(broker),
         counts,
         peering.meter,
     )
     readiness = readiness_module.Readiness()
     gate = gate_module.Gate(settings.http.connections, random.Random())
-    runner = relaying_module.Relaying(
+    runner = call_runner_module.CallRunner(
         instance, documents, services, gate, readiness
     )
 
-    def apply(applied: in_force.Applied) -> None:
+    def apply(applied: in_force.AppliedDocument) -> None:
         broker.configure(applied.document)
         peering.membership.on_document(applied.document)
 
@@ -225,7 +225,9 @@
             lambda: None if broker.has_endpoints() else "no endpoint is known"
         )
     readiness.require(
-        lambda: None if peering.lease.holds else "the document is unconfirmed"
+        lambda: (
+            None if peering.lease.is_valid else "the document is unconfirmed"
+        )
     )
     watch.look()
     startup.serve(_app(settings, documents, runner, readiness, peering.lease))
--- a/cardamombarrow/entry/crashes.py
+++ b/cardamombarrow/entry/crash_detector.py
@@ -19,7 +19,7 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import logs
 
-__all__ = ["Crashes"]
+__all__ = ["CrashDetector"]
 
 SAME_DEATH_S = 1.0
 """A connection that breaks within this time after a probe that found a crash is
@@ -49,7 +49,7 @@
         return self.settled.result() and now_s < self.settled_s + SAME_DEATH_S
 
 
-class Crashes:
+class CrashDetector:
     """Probes endpoints after broken connections, one probe per endpoint."""
 
     def __init__(self, broker: broker_module.Broker):
--- a/cardamombarrow/entry/in_force.py
+++ b/cardamombarrow/entry/in_force.py
@@ -14,7 +14,7 @@
 from cardamombarrow.kernel import logs
 from cardamombarrow.peers import control_pb2
 
-__all__ = ["Applied", "InForce", "take_first"]
+__all__ = ["AppliedDocument", "DocumentInForce", "fetch_first"]
 
 NO_QUORUM_WAIT_S = 3.0
 """How long a start waits for a control process with a quorum. A domain that is
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Applied:
+class AppliedDocument:
     """One parsed revision of the document.
 
     Attributes:
@@ -39,7 +39,7 @@
     format: str = formats.SECTIONS
 
 
-class InForce:
+class DocumentInForce:
     """Holds the highest revision received; never reverts to a lower one.
 
     A control process that was cut off may still offer an old revision when it
@@ -47,12 +47,14 @@
     """
 
     def __init__(self):
-        self._applied: Applied | None = None
+        self._applied: AppliedDocument | None = None
         self._first = threading.Event()
         self._lock = threading.Lock()
-        self._listeners: list[abc.Callable[[Applied], None]] = []
+        self._listeners: list[abc.Callable[[AppliedDocument], None]] = []
 
-    def add_listener(self, listener: abc.Callable[[Applied], None]) -> None:
+    def add_listener(
+        self, listener: abc.Callable[[AppliedDocument], None]
+    ) -> None:
         """Calls `listener` with each revision that is put into force."""
         self._listeners.append(listener)
 
@@ -76,7 +78,7 @@
             document = formats.parse(format_name, text)
             keys = incoming.KeyIndex(document)
             routes = routes_module.RouteIndex(document)
-            self._applied = Applied(
+            self._applied = AppliedDocument(
                 revision, text, document, keys, routes, format_name
             )
             for listener in self._listeners:
@@ -96,7 +98,7 @@
         """Waits until a document is in force; returns whether there is one."""
         return self._first.wait(timeout_s)
 
-    def current(self) -> Applied:
+    def current(self) -> AppliedDocument:
         """Returns the document in force; call only after `wait_first`."""
         assert self._applied is not None
         return self._applied
@@ -112,8 +114,8 @@
 ]
 
 
-def take_first(
-    documents: InForce, query: QuerySources, timeout_s: float
+def fetch_first(
+    documents: DocumentInForce, query: QuerySources, timeout_s: float
 ) -> bool:
     """Puts the highest revision that the sources have into force at the start.
 
--- a/cardamombarrow/entry/lease.py
+++ b/cardamombarrow/entry/lease.py
@@ -21,12 +21,12 @@
     """The age of the last confirmation; shared by all threads.
 
     Attributes:
-        bound_s: Maximum age in seconds; 0 for no bound: a domain that is cut
+        max_age_s: Maximum age in seconds; 0 for no bound: a domain that is cut
             off continues with the document that it has.
     """
 
-    def __init__(self, bound_s: float, time_source: clock.Clock):
-        self.bound_s = bound_s
+    def __init__(self, max_age_s: float, time_source: clock.Clock):
+        self.max_age_s = max_age_s
         self._clock = time_source
         self._confirmed = threading.Condition()
         self._started_s = time_source.now_s()
@@ -46,7 +46,7 @@
     def wait(self, timeout_s: float) -> bool:
         """Waits for a confirmation; returns whether the lease is valid."""
         with self._confirmed:
-            return self._confirmed.wait_for(lambda: self.holds, timeout_s)
+            return self._confirmed.wait_for(lambda: self.is_valid, timeout_s)
 
     @property
     def age_s(self) -> float:
@@ -64,6 +64,6 @@
         return self._clock.now_s() - self._started_s
 
     @property
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether the document can be assumed to be the newest."""
-        return not self.bound_s or self.age_s <= self.bound_s
+        return not self.max_age_s or self.age_s <= self.max_age_s
--- a/cardamombarrow/entry/metrics.py
+++ b/cardamombarrow/entry/metrics.py
@@ -102,7 +102,7 @@
         self._sent_under_limit = 0
         self.waiting = 0
 
-    def wait(self, change: int) -> None:
+    def add_waiting(self, change: int) -> None:
         """Changes the number of waiting requests by `change` (1 or -1)."""
         with self._lock:
             self.waiting += change
@@ -139,7 +139,7 @@
             if class_id is not None and kind not in _NOT_MISSED:
                 self._requests[class_id, False] += 1
 
-    def asked(self, outcome: placing_messages.QuestionOutcome) -> None:
+    def count_question(self, outcome: placing_messages.QuestionOutcome) -> None:
         """Counts the outcome of a question to the placer."""
         with self._lock:
             self._questions[outcome] += 1
--- a/cardamombarrow/entry/once.py
+++ b/cardamombarrow/entry/once.py
@@ -11,7 +11,7 @@
 
 from cardamombarrow.endpoints import base as endpoints_base
 from cardamombarrow.entry import incoming
-from cardamombarrow.entry import life
+from cardamombarrow.entry import request_handler
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import logs
@@ -62,15 +62,16 @@
 
 def run_once(
     call: incoming.IncomingCall,
-    handler: life.Life,
+    handler: request_handler.RequestHandler,
     ledger: ledger_client.LedgerClient,
     instance: ids.InstanceId,
-) -> life.Relay:
+) -> request_handler.RelayedAnswer:
     """Claims the request's key, runs the request and records its outcome.
 
     Raises:
-        errors.RouterError: See `life.Life.run`. Also raised if the key is in
-            flight, has an unknown outcome or was used with another body.
+        errors.RouterError: See `request_handler.RequestHandler.run`. Also
+            raised if the key is in flight, has an unknown outcome or was used
+            with another body.
     """
     if not call.idempotency_key:
         raise errors.RefusedError(
@@ -102,7 +103,7 @@
         ledger.record(key, dataclasses.replace(claim, state=state))
         raise
     chunks = _relay_and_settle(relay, ledger, key, claim)
-    return life.Relay(relay.head, chunks)
+    return request_handler.RelayedAnswer(relay.head, chunks)
 
 
 def _new_claim(
@@ -118,7 +119,7 @@
     )
 
 
-def _stored_relay(claim: machine.Claim) -> life.Relay:
+def _stored_relay(claim: machine.Claim) -> request_handler.RelayedAnswer:
     if not claim.status:
         raise errors.RefusedError(
             errors.ErrorKind.OUTCOME_UNKNOWN,
@@ -127,11 +128,11 @@
     head = endpoints_base.Head(
         claim.status, {"content-type": claim.content_type}
     )
-    return life.Relay(head, iter([claim.answer]))
+    return request_handler.RelayedAnswer(head, iter([claim.answer]))
 
 
 def _relay_and_settle(
-    relay: life.Relay,
+    relay: request_handler.RelayedAnswer,
     ledger: ledger_client.LedgerClient,
     key: str,
     claim: machine.Claim,
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -40,7 +40,7 @@
 from cardamombarrow.peers import placing_teller
 from cardamombarrow.peers import server as server_module
 
-__all__ = ["Peering", "meet"]
+__all__ = ["Peering", "probe_controls"]
 
 FIRST_DOCUMENT_TIMEOUT_S = 60.0
 
@@ -63,7 +63,7 @@
 _Asked = list[futures.Future[control_pb2.DocumentMessage | None]]
 
 
-def meet(ask: abc.Callable[[], _Asked]) -> None:
+def probe_controls(ask: abc.Callable[[], _Asked]) -> None:
     """Queries all control processes, to measure which is nearest.
 
     Args:
@@ -89,7 +89,7 @@
     def __init__(
         self,
         settings: settings_module.EntrySettings,
-        documents: in_force.InForce,
+        documents: in_force.DocumentInForce,
         time_source: clock.Clock,
     ):
         self._settings = settings
@@ -218,14 +218,14 @@
             errors.UnavailableError: No instance provided a document in time.
         """
         self._loop.start()
-        if self.lease.bound_s:
-            meet(lambda: self.control.documents(ASK_TIMEOUT_S))
+        if self.lease.max_age_s:
+            probe_controls(lambda: self.control.documents(ASK_TIMEOUT_S))
             self.control.start()
             self._confirming.start()
             while not self._documents.wait_first(FIRST_DOCUMENT_TIMEOUT_S):
                 logs.event("no document yet", "WARNING")
             return
-        if not in_force.take_first(
+        if not in_force.fetch_first(
             self._documents, self._query_sources, FIRST_DOCUMENT_TIMEOUT_S
         ):
             raise errors.UnavailableError(
@@ -314,7 +314,7 @@
                     runs=broker.runs,
                     on_answer=broker.on_answer,
                     fall_back=broker.fall_back,
-                    count=counts.asked,
+                    count=counts.count_question,
                 ),
             )
             broker.set_remote_placer(self._remote_placer)
@@ -399,7 +399,7 @@
             self._remote_placer.stop()
         self._teller.stop()
         self._node.stop()
-        if self.lease.bound_s:
+        if self.lease.max_age_s:
             self._confirming.stop()
             self._confirming.flush()
         self.control.stop()
--- a/cardamombarrow/entry/progress.py
+++ b/cardamombarrow/entry/progress.py
@@ -60,7 +60,7 @@
             after_s = self.first_token_s - self._sent_s
             self._meter.read(job.service, job.unread_tokens, after_s)
 
-    def piece(self) -> None:
+    def add_piece(self) -> None:
         """Records a piece of the answer and updates the longest pause."""
         age_s = self.age_s
         if self._last_piece_s is not None:
--- a/cardamombarrow/entry/protocol.py
+++ b/cardamombarrow/entry/protocol.py
@@ -14,10 +14,10 @@
 
 __all__ = [
     "SLOT",
-    "CallFacts",
     "CallerProtocol",
     "ErrorAnswer",
     "Headers",
+    "ParsedHeaders",
 ]
 
 SLOT = "caller-protocol"
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class CallFacts:
+class ParsedHeaders:
     """The parsed headers of a request.
 
     Attributes:
@@ -66,7 +66,7 @@
     """A protocol of callers; registered in the slot `SLOT`."""
 
     @abc.abstractmethod
-    def read(self, headers: Headers) -> CallFacts:
+    def read(self, headers: Headers) -> ParsedHeaders:
         """Reads a request's headers.
 
         Raises:
--- a/cardamombarrow/entry/life.py
+++ b/cardamombarrow/entry/request_handler.py
@@ -12,11 +12,11 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.document import schema
 from cardamombarrow.endpoints import base as endpoints_base
+from cardamombarrow.entry import answer_stream
 from cardamombarrow.entry import broker as broker_module
-from cardamombarrow.entry import crashes as crashes_module
+from cardamombarrow.entry import crash_detector as crash_detector_module
 from cardamombarrow.entry import incoming
 from cardamombarrow.entry import metrics as metrics_module
-from cardamombarrow.entry import pieces
 from cardamombarrow.entry import progress as progress_module
 from cardamombarrow.entry import ticket as ticket_module
 from cardamombarrow.kernel import clock
@@ -25,7 +25,7 @@
 from cardamombarrow.ledger import client as ledger_client
 from cardamombarrow.metering import meter as meter_module
 
-__all__ = ["Life", "LifeServices", "Relay"]
+__all__ = ["RelayedAnswer", "RequestHandler", "RequestServices"]
 
 CALLER_POLL_S = 0.25
 """Interval at which a waiting caller's connection is checked."""
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LifeServices:
+class RequestServices:
     """Dependencies shared by all requests.
 
     Attributes:
@@ -50,13 +50,13 @@
     ledger: ledger_client.LedgerClient
     kinds: dict[schema.ServiceKind, endpoints_base.EndpointKind]
     time_source: clock.Clock
-    crashes: crashes_module.Crashes
+    crashes: crash_detector_module.CrashDetector
     metrics: metrics_module.Metrics
     meter: meter_module.Meter
 
 
 @dataclasses.dataclass
-class Relay:
+class RelayedAnswer:
     """An answer that is being relayed.
 
     Attributes:
@@ -86,14 +86,14 @@
     settled: bool = False
 
 
-class Life:
+class RequestHandler:
     """One request from admission to settlement."""
 
     def __init__(
         self,
         call: incoming.IncomingCall,
         caller: endpoints_base.CallerWatch,
-        services: LifeServices,
+        services: RequestServices,
     ):
         self._call = call
         self._caller = caller
@@ -109,7 +109,7 @@
         """Returns the time until the request's deadline, in seconds."""
         return self._call.job.deadline_s - self._services.time_source.now_s()
 
-    def run(self) -> Relay:
+    def run(self) -> RelayedAnswer:
         """Runs the request until its answer begins.
 
         Returns:
@@ -122,16 +122,16 @@
         ticket = self._services.broker.submit(self._call.job)
         run = self._begin(ticket)
         self._relaying = True
-        return Relay(run.head, self._relay(run))
+        return RelayedAnswer(run.head, self._relay(run))
 
     def _begin(self, ticket: ticket_module.Ticket) -> _Run:
         """Runs a placed or waiting job until an answer begins."""
         while True:
-            self._services.metrics.wait(1)
+            self._services.metrics.add_waiting(1)
             try:
                 self._wait(ticket)
             finally:
-                self._services.metrics.wait(-1)
+                self._services.metrics.add_waiting(-1)
             try:
                 exchange = self._open(ticket)
             except BaseException:
@@ -171,7 +171,7 @@
         ticket = run.ticket
         run.exchange.release()
         run.exchange.close()
-        error = pieces.failure_of(run.head)
+        error = answer_stream.failure_of(run.head)
         outcome = messages.Outcome.FAILURE_ANSWERED
         self._settle(ticket, error, outcome)
         new_ticket = self._services.broker.resubmit(ticket, outcome)
@@ -200,11 +200,11 @@
             self._progress.began()
         self._kind.check(head, self._outgoing(ticket))
         if self._kind.failed(head) and not self._kind.relays_failures:
-            raise pieces.failure_of(head)
+            raise answer_stream.failure_of(head)
         if self._relaying and not (head.status == 200 and head.streams):
             # The head of the stream has been sent: any other answer would be
             # read as the stream's next events.
-            raise pieces.failure_of(head)
+            raise answer_stream.failure_of(head)
         resumable = (
             self._kind.resumable(head)
             and ticket.job.repeatable
@@ -213,8 +213,8 @@
         ticket.job.resumable = resumable
         chunks = exchange.chunks()
         if resumable:
-            chunks = pieces.whole_events(chunks)
-        if pieces.is_short(head) or self._kind.failed(head):
+            chunks = answer_stream.complete_events(chunks)
+        if answer_stream.is_buffered(head) or self._kind.failed(head):
             first = b"".join(chunks)
         else:
             first = next(chunks, b"")
@@ -299,7 +299,7 @@
     def _retry(
         self, ticket: ticket_module.Ticket, error: errors.RouterError
     ) -> ticket_module.Ticket:
-        outcome = pieces.OUTCOMES[error.kind]
+        outcome = answer_stream.OUTCOMES[error.kind]
         if error.kind in _NOT_RETRIED:
             raise error
         new_ticket = self._services.broker.resubmit(ticket, outcome)
@@ -318,7 +318,7 @@
         except errors.RouterError as error:
             # Until here a resumed run could still have used these tokens.
             self._services.metrics.wasted(
-                pieces.OUTCOMES[error.kind], self._progress.tokens
+                answer_stream.OUTCOMES[error.kind], self._progress.tokens
             )
             raise
         except GeneratorExit:
@@ -356,7 +356,7 @@
                 if progress.first_token_s is None:
                     progress.first_piece(run.ticket.job)
                     broker.first_token(request_id)
-                progress.piece()
+                progress.add_piece()
                 tail = (tail + chunk)[-TAIL_BYTES:]
                 progress.tokens += self._kind.count_tokens(chunk)
                 if run.resumable:
@@ -393,7 +393,7 @@
         outcome: messages.Outcome | None = None,
     ) -> None:
         if outcome is None:
-            outcome = pieces.outcome_of(error)
+            outcome = answer_stream.outcome_of(error)
         job = ticket.job
         self._services.broker.finish(job.request_id, outcome)
         progress = self._progress
--- a/cardamombarrow/entry/routed.py
+++ b/cardamombarrow/entry/routed.py
@@ -17,13 +17,13 @@
 from cardamombarrow.document import schema
 from cardamombarrow.endpoints import base as endpoints_base
 from cardamombarrow.entry import answers
+from cardamombarrow.entry import call_runner as call_runner_module
 from cardamombarrow.entry import caller as caller_module
 from cardamombarrow.entry import holding
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import incoming
 from cardamombarrow.entry import lease as lease_module
 from cardamombarrow.entry import protocol as protocol_module
-from cardamombarrow.entry import relaying as relaying_module
 from cardamombarrow.entry import routes
 from cardamombarrow.kernel import connection
 from cardamombarrow.kernel import errors
@@ -62,8 +62,8 @@
 
     def __init__(
         self,
-        documents: in_force.InForce,
-        runner: relaying_module.Relaying,
+        documents: in_force.DocumentInForce,
+        runner: call_runner_module.CallRunner,
         protocol: protocol_module.CallerProtocol,
         lease: lease_module.DocumentLease,
         rng: random.Random,
@@ -122,7 +122,7 @@
         self,
         environ: dict[str, typing.Any],
         start_response: _StartResponse,
-        parsed_headers: protocol_module.CallFacts,
+        parsed_headers: protocol_module.ParsedHeaders,
         request_id: ids.RequestId,
     ) -> abc.Iterable[bytes]:
         applied = self._confirmed(environ, parsed_headers, request_id)
@@ -139,7 +139,7 @@
             environ, parsed_headers, request_id, applied, route, workspace, body
         )
         relay = self._runner.begin(
-            environ, call, self._runner.run_plain, tells_breaks=False
+            environ, call, self._runner.run_plain, sends_error_event=False
         )
         start_response(
             _status_line(relay.head),
@@ -150,9 +150,9 @@
     def _confirmed(
         self,
         environ: dict[str, typing.Any],
-        parsed_headers: protocol_module.CallFacts,
+        parsed_headers: protocol_module.ParsedHeaders,
         request_id: ids.RequestId,
-    ) -> in_force.Applied:
+    ) -> in_force.AppliedDocument:
         """Returns the document in force, once it is confirmed as the newest.
 
         Raises:
@@ -160,11 +160,11 @@
                 removed key would still be accepted, and an added route
                 refused.
         """
-        if not self._lease.holds:
+        if not self._lease.is_valid:
             self._hold(environ, parsed_headers, request_id)
         if not self._documents.revision:
             reason = "no document is in force yet"
-        elif not self._lease.holds:
+        elif not self._lease.is_valid:
             reason = "the document in force may be out of date"
         else:
             return self._documents.current()
@@ -175,7 +175,7 @@
     def _hold(
         self,
         environ: dict[str, typing.Any],
-        parsed_headers: protocol_module.CallFacts,
+        parsed_headers: protocol_module.ParsedHeaders,
         request_id: ids.RequestId,
     ) -> None:
         """Waits for a confirmation that is expected soon.
@@ -206,9 +206,9 @@
     def _call(
         self,
         environ: dict[str, typing.Any],
-        parsed_headers: protocol_module.CallFacts,
+        parsed_headers: protocol_module.ParsedHeaders,
         request_id: ids.RequestId,
-        applied: in_force.Applied,
+        applied: in_force.AppliedDocument,
         route: schema.Route,
         workspace: schema.Workspace,
         body: bytes,
@@ -280,7 +280,7 @@
     return f"{head.status} {reason}"
 
 
-def _request_id(parsed_headers: protocol_module.CallFacts) -> ids.RequestId:
+def _request_id(parsed_headers: protocol_module.ParsedHeaders) -> ids.RequestId:
     # Two callers may use the same id at the same time. This instance tracks
     # requests by id, so the end of one would be taken for the end of the other.
     suffix = secrets.token_hex(SUFFIX_BYTES)
@@ -289,8 +289,8 @@
 
 def _workspace(
     route: schema.Route,
-    parsed_headers: protocol_module.CallFacts,
-    applied: in_force.Applied,
+    parsed_headers: protocol_module.ParsedHeaders,
+    applied: in_force.AppliedDocument,
 ) -> schema.Workspace:
     if route.anonymous:
         return applied.document.workspaces[schema.ANYBODY]
@@ -324,7 +324,7 @@
     return hashlib.sha256(head + body).hexdigest()
 
 
-def _prefix_key(parsed_headers: protocol_module.CallFacts) -> str:
+def _prefix_key(parsed_headers: protocol_module.ParsedHeaders) -> str:
     """Returns a key for the prompt prefix that requests may share.
 
     The last part is specific to the request or its session and is left out.
--- a/cardamombarrow/entry/side.py
+++ b/cardamombarrow/entry/side.py
@@ -7,10 +7,10 @@
 
 from werkzeug import wrappers
 
+from cardamombarrow.entry import call_runner as call_runner_module
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import lease as lease_module
 from cardamombarrow.entry import readiness as readiness_module
-from cardamombarrow.entry import relaying as relaying_module
 from cardamombarrow.kernel import ids
 
 __all__ = ["SideApp"]
@@ -22,8 +22,8 @@
     def __init__(
         self,
         instance: ids.InstanceId,
-        documents: in_force.InForce,
-        runner: relaying_module.Relaying,
+        documents: in_force.DocumentInForce,
+        runner: call_runner_module.CallRunner,
         readiness: readiness_module.Readiness,
         lease: lease_module.DocumentLease,
     ):
--- a/cardamombarrow/entry/starting.py
+++ b/cardamombarrow/entry/startup_app.py
@@ -15,7 +15,7 @@
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 
-__all__ = ["Starting"]
+__all__ = ["StartupApp"]
 
 RETRY_AFTER_S = 2.0
 
@@ -24,7 +24,7 @@
 shortest time limit that callers use."""
 
 
-class Starting:
+class StartupApp:
     """A WSGI application that forwards to another one once that is set."""
 
     def __init__(self, hold_s: float = 0.0):
--- a/cardamombarrow/entry/tests/test_holding.py
+++ b/cardamombarrow/entry/tests/test_holding.py
@@ -6,7 +6,7 @@
 
 from cardamombarrow.entry import holding
 from cardamombarrow.entry import lease as lease_module
-from cardamombarrow.entry import starting
+from cardamombarrow.entry import startup_app
 from cardamombarrow.kernel import clock
 
 
@@ -61,7 +61,7 @@
 
 
 def test_a_caller_is_held_until_the_first_document_is_available():
-    app = starting.Starting(hold_s=30.0)
+    app = startup_app.StartupApp(hold_s=30.0)
     answers = []
     caller = threading.Thread(target=lambda: answers.append(_ask(app)))
     caller.start()
@@ -71,5 +71,5 @@
 
 
 def test_a_readiness_probe_is_answered_immediately():
-    assert _ask(starting.Starting()) == "503"
-    assert _ask(starting.Starting(hold_s=30.0), "/healthz") == "200"
+    assert _ask(startup_app.StartupApp()) == "503"
+    assert _ask(startup_app.StartupApp(hold_s=30.0), "/healthz") == "200"
--- a/cardamombarrow/entry/tests/test_lease.py
+++ b/cardamombarrow/entry/tests/test_lease.py
@@ -10,12 +10,12 @@
     # that time.
     time_source = clock.ManualClock(100.0)
     lease = lease_module.DocumentLease(3.0, time_source)
-    assert not lease.holds
+    assert not lease.is_valid
     time_source.advance(2.0)
     lease.confirm(100.0)
-    assert lease.holds
+    assert lease.is_valid
     time_source.advance(1.5)
-    assert not lease.holds
+    assert not lease.is_valid
 
 
 def test_a_late_reply_to_an_earlier_request_changes_nothing():
@@ -27,4 +27,4 @@
 
 
 def test_without_a_bound_a_domain_that_is_cut_off_continues_to_serve():
-    assert lease_module.DocumentLease(0.0, clock.ManualClock()).holds
+    assert lease_module.DocumentLease(0.0, clock.ManualClock()).is_valid
--- a/cardamombarrow/entry/tests/test_peering.py
+++ b/cardamombarrow/entry/tests/test_peering.py
@@ -24,7 +24,9 @@
         asked.append(1)
         return [_answered(answer), _answered(answer), futures.Future()]
 
-    start = threading.Thread(target=lambda: peering.meet(ask), daemon=True)
+    start = threading.Thread(
+        target=lambda: peering.probe_controls(ask), daemon=True
+    )
     start.start()
     start.join(timeout=30)
     assert not start.is_alive()
@@ -33,5 +35,5 @@
 
 def test_a_control_process_that_is_still_starting_is_asked_again():
     answers = [None, control_pb2.DocumentMessage()]
-    peering.meet(lambda: [_answered(answers.pop(0))])
+    peering.probe_controls(lambda: [_answered(answers.pop(0))])
     assert not answers
--- a/cardamombarrow/platform/caller.py
+++ b/cardamombarrow/platform/caller.py
@@ -78,7 +78,7 @@
 class PlatformProtocol(protocol.CallerProtocol):
     """Headers of requests and answers."""
 
-    def read(self, headers: protocol.Headers) -> protocol.CallFacts:
+    def read(self, headers: protocol.Headers) -> protocol.ParsedHeaders:
         """Reads a request's headers; see `protocol.CallerProtocol`."""
         found = _single(headers)
         caller_id = found.get("attempt-id", "")
@@ -88,7 +88,7 @@
         counts = found.get("token-count", "0,0").split(",")
         if len(counts) != 2 or not all(map(_WHOLE.fullmatch, counts)):
             raise _refused("Token-Count is malformed")
-        return protocol.CallFacts(
+        return protocol.ParsedHeaders(
             caller_id=caller_id,
             key=_key(found.get("authorization", "")),
             limit_s=None if limit_ms is None else limit_ms / 1_000,
--- a/cardamombarrow/reports/core.py
+++ b/cardamombarrow/reports/core.py
@@ -11,7 +11,14 @@
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
-__all__ = ["ClassReport", "Refused", "Settled", "collect", "events", "lines"]
+__all__ = [
+    "ClassReport",
+    "Refused",
+    "Settled",
+    "collect",
+    "parse_decisions",
+    "read_decisions",
+]
 
 MAX_FIRST_TOKEN_MS = 3_600_000
 SIGNIFICANT_DIGITS = 2
@@ -102,13 +109,13 @@
         """
         return self.in_target / self.answered if self.answered else None
 
-    def kept(self, request_class: schema.RequestClass) -> bool:
+    def attained(self, request_class: schema.RequestClass) -> bool:
         """Returns whether the class met its sold attainment target."""
         share = self.attainment_share
         return share is None or share >= request_class.attainment_share
 
 
-def lines(
+def read_decisions(
     files: abc.Iterable[typing.TextIO],
 ) -> abc.Iterator[dict[str, typing.Any]]:
     """Yields each decision in the logs; lines that are not JSON are skipped."""
@@ -123,7 +130,7 @@
                 continue
 
 
-def events(
+def parse_decisions(
     decisions: abc.Iterable[dict[str, typing.Any]],
 ) -> abc.Iterator[Settled | Refused]:
     """Yields the decisions that end a request or a run."""
--- a/cardamombarrow/reports/tests/test_core.py
+++ b/cardamombarrow/reports/tests/test_core.py
@@ -29,7 +29,9 @@
 
 def _report(*raw):
     text = "\n".join(json.dumps(item) for item in raw)
-    found = core.collect(core.events(core.lines([io.StringIO(text)])))
+    found = core.collect(
+        core.parse_decisions(core.read_decisions([io.StringIO(text)]))
+    )
     return found["marshal-question"]
 
 
@@ -54,7 +56,7 @@
 def test_a_truncated_last_line_is_skipped():
     # A process is killed while it writes a line; the report must still work.
     text = json.dumps(_settle()) + "\n" + json.dumps(_settle())[:40]
-    assert len(list(core.lines([io.StringIO(text)]))) == 1
+    assert len(list(core.read_decisions([io.StringIO(text)]))) == 1
 
 
 def test_a_missed_target_sets_the_exit_code(tmp_path, kandula_text, capsys):
