--- a/cardamombarrow/entry/broker_base.py
+++ b/cardamombarrow/entry/broker_base.py
@@ -284,7 +284,9 @@
         with self._lock:
             self._dispatcher.rate_limit_changed(endpoint)
 
-    def rate_limits_to_tell(self) -> dict[ids.EndpointId, messages.RateLimit]:
+    def rate_limits_to_announce(
+        self,
+    ) -> dict[ids.EndpointId, messages.RateLimit]:
         """Returns the rate limits to be reported to the domain's instances."""
         return self._context.rate_limits.to_tell(self._clock.now_s())
 
--- a/cardamombarrow/entry/routed.py
+++ b/cardamombarrow/entry/routed.py
@@ -19,12 +19,12 @@
 from cardamombarrow.entry import answers
 from cardamombarrow.entry import call_runner as call_runner_module
 from cardamombarrow.entry import caller as caller_module
-from cardamombarrow.entry import holding
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import incoming
 from cardamombarrow.entry import lease as lease_module
 from cardamombarrow.entry import protocol as protocol_module
 from cardamombarrow.entry import routes
+from cardamombarrow.entry import startup_hold
 from cardamombarrow.kernel import connection
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
@@ -184,8 +184,8 @@
             errors.RefusedError: The caller left during the wait.
         """
         unconfirmed_s = self._lease.unconfirmed_s
-        limit_s = parsed_headers.limit_s or holding.STARTING_S
-        most_s = holding.hold_s(unconfirmed_s, limit_s)
+        limit_s = parsed_headers.limit_s or startup_hold.STARTING_S
+        most_s = startup_hold.hold_s(unconfirmed_s, limit_s)
         if most_s <= 0.0:
             return
         confirmed = self._lease.wait(most_s)
--- a/cardamombarrow/entry/startup_app.py
+++ b/cardamombarrow/entry/startup_app.py
@@ -2,7 +2,7 @@
 
 The port is open from the start, so that a balancer sees a live instance that
 is not ready instead of one that refuses connections and may be down. Requests
-are held for about as long as a start takes; see `holding`.
+are held for about as long as a start takes; see `startup_hold`.
 """
 
 from collections import abc
--- a/cardamombarrow/entry/tests/test_holding.py
+++ b/cardamombarrow/entry/tests/test_startup_hold.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from cardamombarrow.entry import holding
 from cardamombarrow.entry import lease as lease_module
 from cardamombarrow.entry import startup_app
+from cardamombarrow.entry import startup_hold
 from cardamombarrow.kernel import clock
 
 
@@ -14,12 +14,12 @@
     ("unconfirmed_s", "limit_s", "held_s"),
     [
         # A limit of 15 s: held for the whole start.
-        (0.0, 15.0, holding.STARTING_S),
-        (0.5, 15.0, holding.STARTING_S - 0.5),
+        (0.0, 15.0, startup_hold.STARTING_S),
+        (0.5, 15.0, startup_hold.STARTING_S - 0.5),
         # A limit of 2 s: three quarters of it remain.
         (0.0, 2.0, 0.5),
         # The start has ended without a confirmation: cut off.
-        (holding.STARTING_S, 15.0, 0.0),
+        (startup_hold.STARTING_S, 15.0, 0.0),
         (60.0, 15.0, 0.0),
         # The last confirmation has expired: cut off.
         (None, 15.0, 0.0),
@@ -28,7 +28,7 @@
 def test_a_request_is_held_only_while_a_confirmation_is_expected(
     unconfirmed_s, limit_s, held_s
 ):
-    assert holding.hold_s(unconfirmed_s, limit_s) == pytest.approx(held_s)
+    assert startup_hold.hold_s(unconfirmed_s, limit_s) == pytest.approx(held_s)
 
 
 def test_a_request_in_the_first_half_second_after_a_full_restart_is_served():
@@ -41,7 +41,7 @@
 
     def request():
         unconfirmed_s = lease.unconfirmed_s
-        served.append(lease.wait(holding.hold_s(unconfirmed_s, 15.0)))
+        served.append(lease.wait(startup_hold.hold_s(unconfirmed_s, 15.0)))
 
     callers = [threading.Thread(target=request) for _ in range(5)]
     for caller in callers:
--- a/cardamombarrow/peers/rate_limit_news.py
+++ b/cardamombarrow/peers/rate_limit_news.py
@@ -20,7 +20,7 @@
 
     def collect(self) -> dict[rows.Key, rows.Value]:
         """Returns the items of this instance's row."""
-        current = self._broker.rate_limits_to_tell()
+        current = self._broker.rate_limits_to_announce()
         for endpoint, limit in current.items():
             told = self._told.get(endpoint)
             if told is None or _is_due(told, limit):
@@ -34,7 +34,7 @@
 
     def is_urgent(self) -> bool:
         """Tells whether a limit has changed that others don't know of yet."""
-        current = self._broker.rate_limits_to_tell()
+        current = self._broker.rate_limits_to_announce()
         return any(
             endpoint not in self._told
             or self._told[endpoint].per_s != limit.per_s
--- a/cardamombarrow/peers/tests/test_membership.py
+++ b/cardamombarrow/peers/tests/test_membership.py
@@ -29,7 +29,7 @@
     def quarantine_marks(self):
         return {}
 
-    def rate_limits_to_tell(self):
+    def rate_limits_to_announce(self):
         return {}
 
     def peer(self, demand):
--- a/cardamombarrow/peers/tests/test_rate_limit_news.py
+++ b/cardamombarrow/peers/tests/test_rate_limit_news.py
@@ -25,7 +25,7 @@
         self.limits = rate_limits.RateLimits()
         self.now_s = 0.0
 
-    def rate_limits_to_tell(self):
+    def rate_limits_to_announce(self):
         return self.limits.to_tell(self.now_s)
 
     def hear_rate_limit(self, endpoint, limit, source):
--- a/cardamombarrow/placing/ranking.py
+++ b/cardamombarrow/placing/ranking.py
@@ -5,7 +5,7 @@
 the time of a few requests, without messages between entries and without a storm
 of connections to the failed instance.
 
-Rendezvous hashing ranks the members of the domain; all entries that know the
+Rendezvous hashing ranks the members of the domain; all entries with the
 same members select the same placer. A failed instance is avoided for a pause
 that doubles with each failure in a row, and the next one in the ranking is
 asked in that time. Without the pause an entry would wait for the failed
