--- a/cardamombarrow/entry/gate.py
+++ b/cardamombarrow/entry/gate.py
@@ -1,6 +1,6 @@
 """Limits the concurrent requests of an entry, by tier and by workspace.
 
-Each request occupies a thread from its first byte to its last, and waits most
+Each request occupies a thread from its first byte to its last, and waits limit
 of that time. Without a bound, a flood of low-tier requests in the queue would
 take every thread, and a higher tier's request could not even be read. The
 bound is trunk reservation: a tier's request is admitted while the number of
@@ -56,7 +56,7 @@
         """
         bound = self._bound(job.rank, document)
         workspace = document.workspaces.get(job.workspace)
-        most = workspace.max_in_flight if workspace else 0
+        limit = workspace.max_in_flight if workspace else 0
         with self._lock:
             if self._held >= bound:
                 raise self._refusal(
@@ -64,11 +64,11 @@
                     f"{self._held} requests are held; the tier's limit is "
                     f"{bound}",
                 )
-            own = self._by_workspace[job.workspace]
-            if most and own >= most:
+            in_flight = self._by_workspace[job.workspace]
+            if limit and in_flight >= limit:
                 raise self._refusal(
                     errors.ErrorKind.WORKSPACE_LIMIT,
-                    f"{own} requests of the workspace are held",
+                    f"{in_flight} requests of the workspace are held",
                 )
             self._held += 1
             self._by_workspace[job.workspace] += 1
--- a/cardamombarrow/entry/in_force.py
+++ b/cardamombarrow/entry/in_force.py
@@ -121,8 +121,8 @@
 
     A restarted instance has no document. The first one to arrive could be an
     old revision of a control process that is cut off, which would revert an
-    accepted edit. So all sources are queried, repeatedly for up to
-    `NO_QUORUM_WAIT_S` while no control process with a quorum answers.
+    accepted edit. So all sources are queried, and while no control process
+    with a quorum answers, queried again for up to `NO_QUORUM_WAIT_S`.
 
     Args:
         documents: Where the document is put into force.
--- a/cardamombarrow/entry/incoming.py
+++ b/cardamombarrow/entry/incoming.py
@@ -34,7 +34,7 @@
     """A parsed and authenticated request.
 
     Attributes:
-        idempotency_key: Empty where the caller gave none.
+        idempotency_key: Empty if the caller sent none.
         body_sha256: Digest of method, path and body.
         streams: Whether the caller asked for server-sent events.
         stall_limit_s: Longest pause within an answer, in seconds.
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -51,26 +51,26 @@
 PROBE_WAIT_S = 0.3
 """Longest wait for all their answers: connecting and one query at 30 ms one-way
 delay take half of it. A control process without power does not answer at all;
-waiting `ASK_TIMEOUT_S` for it twice delayed a start by 4 s."""
+waiting `QUERY_TIMEOUT_S` for it twice delayed a start by 4 s."""
 
-ASK_TIMEOUT_S = 2.0
+QUERY_TIMEOUT_S = 2.0
 """Longest wait for each source of the first document."""
 
 BOOT_BYTES = 4
 """Random bytes that distinguish the starts of an entry."""
 
 
-_Asked = list[futures.Future[control_pb2.DocumentMessage | None]]
+_PendingReplies = list[futures.Future[control_pb2.DocumentMessage | None]]
 
 
-def probe_controls(ask: abc.Callable[[], _Asked]) -> None:
+def probe_controls(query: abc.Callable[[], _PendingReplies]) -> None:
     """Queries all control processes, to measure which is nearest.
 
     Args:
-        ask: Queries each; the result is None for one that does not answer.
+        query: Queries each; the result is None for one that does not answer.
     """
     for _ in range(PROBE_TRIES):
-        answered, silent = futures.wait(ask(), PROBE_WAIT_S)
+        answered, silent = futures.wait(query(), PROBE_WAIT_S)
         if silent or all(each.result() is not None for each in answered):
             return
 
@@ -104,9 +104,9 @@
         self._broker: broker_module.Broker | None = None
         self._remote_placer: placing_client.PlacingClient | None = None
         self._placer: placer_module.Placer | None = None
-        self._teller: placing_teller.LoadTeller | None = None
+        self._load_publisher: placing_teller.LoadTeller | None = None
         self._found_endpoints: tuple[messages.KnownEndpoint, ...] = ()
-        self._kept_number = 0
+        self._cache_report_number = 0
         self.control = control_client.ControlClient(
             self._loop,
             settings.peers.control_addresses(),
@@ -127,7 +127,7 @@
         self.meter = meter_module.Meter(
             settings.metering.window_s, self.time.unix_s
         )
-        self._confirming = confirming_module.Confirming(
+        self._confirmation_loop = confirming_module.Confirming(
             self._loop,
             self.control,
             self._confirm_request,
@@ -156,7 +156,7 @@
             domain=self._domain,
             applied_revision=self._documents.revision,
             kept=kept_codec.kept_to_wire(cache_changes),
-            kept_since=self._kept_number,
+            kept_since=self._cache_report_number,
             usage=[
                 collecting.usage_to_wire(
                     board.SourceCounts(
@@ -200,11 +200,11 @@
             self.control.set_controls(tuple(reply.controls))
         if self._broker is not None:
             self._broker.set_instances(max(reply.entry_count, 1))
-            self._kept_number = reply.kept_number
+            self._cache_report_number = reply.kept_number
             known = self.membership.endpoints_by_hash()
             self._broker.hear_kept(kept_codec.kept_from_wire(reply.kept, known))
-        if self._teller is not None:
-            self._teller.set_placers(reply.placers)
+        if self._load_publisher is not None:
+            self._load_publisher.set_placers(reply.placers)
         if self._node is not None:
             self._node.set_seeds((*self._settings.peers.seeds, *reply.entries))
 
@@ -219,9 +219,9 @@
         """
         self._loop.start()
         if self.lease.max_age_s:
-            probe_controls(lambda: self.control.documents(ASK_TIMEOUT_S))
+            probe_controls(lambda: self.control.documents(QUERY_TIMEOUT_S))
             self.control.start()
-            self._confirming.start()
+            self._confirmation_loop.start()
             while not self._documents.wait_first(FIRST_DOCUMENT_TIMEOUT_S):
                 logs.event("no document yet", "WARNING")
             return
@@ -235,11 +235,11 @@
             )
         self.control.start()
 
-    def _query_sources(self) -> _Asked:
+    def _query_sources(self) -> _PendingReplies:
         peers = self._settings.peers
-        return self.control.documents(ASK_TIMEOUT_S) + [
+        return self.control.documents(QUERY_TIMEOUT_S) + [
             self._loop.call(
-                gossip_node.fetch_document(seed, peers.secret, ASK_TIMEOUT_S)
+                gossip_node.fetch_document(seed, peers.secret, QUERY_TIMEOUT_S)
             )
             for seed in peers.seeds
         ]
@@ -285,7 +285,7 @@
         )
         placer = placer_module.Placer(broker.for_domain, self._loop.soon)
         self._placer = placer
-        self._teller = placing_teller.LoadTeller(
+        self._load_publisher = placing_teller.LoadTeller(
             self._loop,
             self._instance,
             peers.secret,
@@ -389,7 +389,7 @@
         """Starts gossip; call after `join`."""
         self._server.start()
         self._node.start()
-        self._teller.start()
+        self._load_publisher.start()
         if self._remote_placer is not None:
             self._remote_placer.start()
 
@@ -397,11 +397,11 @@
         """Announces the departure to other instances and closes all links."""
         if self._remote_placer is not None:
             self._remote_placer.stop()
-        self._teller.stop()
+        self._load_publisher.stop()
         self._node.stop()
         if self.lease.max_age_s:
-            self._confirming.stop()
-            self._confirming.flush()
+            self._confirmation_loop.stop()
+            self._confirmation_loop.flush()
         self.control.stop()
         self._server.stop()
         self._loop.stop()
--- a/cardamombarrow/placing/messages.py
+++ b/cardamombarrow/placing/messages.py
@@ -15,7 +15,7 @@
     Attributes:
         DECIDED: The placer's decision was applied.
         LATE: No answer arrived in time.
-        LOST: The stream to the placer was lost.
+        LOST: The connection to the placer was lost.
         NOT_TAKEN: The entry did not apply the placer's decision.
     """
 
