--- a/cardamombarrow/entry/answers.py
+++ b/cardamombarrow/entry/answers.py
@@ -9,10 +9,10 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import logs
 
-__all__ = ["error_event", "error_response", "failure", "internal_error"]
+__all__ = ["error_body", "error_event", "error_response", "internal_error"]
 
 
-def failure(error: errors.RouterError, request_id: ids.RequestId) -> bytes:
+def error_body(error: errors.RouterError, request_id: ids.RequestId) -> bytes:
     """Returns the JSON body for an error.
 
     Returns:
@@ -41,7 +41,7 @@
     if error.retry_after_s is not None:
         headers["Retry-After"] = str(math.ceil(error.retry_after_s))
     return wrappers.Response(
-        failure(error, request_id),
+        error_body(error, request_id),
         status=error.answer.status,
         headers=headers,
         content_type="application/json",
@@ -66,4 +66,4 @@
     Without it a caller that reads until the connection closes would take a cut
     answer for a complete one.
     """
-    return b"event: error\ndata: " + failure(error, request_id) + b"\n\n"
+    return b"event: error\ndata: " + error_body(error, request_id) + b"\n\n"
--- a/cardamombarrow/entry/app.py
+++ b/cardamombarrow/entry/app.py
@@ -69,10 +69,10 @@
         try:
             response = self._dispatch(request, request_id)
         except errors.RouterError as error:
-            self._services.metrics.error(error.kind, error.class_id)
+            self._services.metrics.count_error(error.kind, error.class_id)
             response = answers.error_response(error, request_id)
         except Exception as error:
-            self._services.metrics.error(errors.ErrorKind.INTERNAL)
+            self._services.metrics.count_error(errors.ErrorKind.INTERNAL)
             failure = answers.internal_error(error, request_id)
             response = answers.error_response(failure, request_id)
         return response(environ, start_response)
--- a/cardamombarrow/entry/broker.py
+++ b/cardamombarrow/entry/broker.py
@@ -44,7 +44,7 @@
             errors.RefusedError: The job is refused immediately.
         """
         ticket = ticket_module.Ticket(job, futures.Future())
-        lines: list[decision_lines.Line] = []
+        lines: list[decision_lines.DecisionLine] = []
         with self._lock:
             now_s = self._clock.now_s()
             use_placer = self._use_placer(job, now_s)
@@ -62,7 +62,7 @@
                     lines = self._run_due()
                     self._wake_if_earlier()
         if refusal is not None:
-            decision_lines.write([decision_lines.Line(job, refusal)])
+            decision_lines.write([decision_lines.DecisionLine(job, refusal)])
             raise _refused(job, refusal)
         decision_lines.write(lines)
         return ticket
@@ -116,7 +116,7 @@
         future is resolved. A placed job is finished here; otherwise its slot
         would stay taken until a restart.
         """
-        lines: list[decision_lines.Line] = []
+        lines: list[decision_lines.DecisionLine] = []
         with self._lock:
             request_id = ticket.job.request_id
             if self._dispatcher.is_announced(request_id):
@@ -149,7 +149,7 @@
 
     def _finish(
         self, request_id: ids.RequestId, outcome: messages.Outcome
-    ) -> list[decision_lines.Line]:
+    ) -> list[decision_lines.DecisionLine]:
         self._tickets.pop(request_id, None)
         tokens = self._dispatcher.finish(
             request_id, outcome, self._clock.now_s()
@@ -196,7 +196,7 @@
                     ticket.placed.set_exception(_refused(ticket.job, decision))
             if applied:
                 lines = [
-                    decision_lines.Line(
+                    decision_lines.DecisionLine(
                         ticket.job,
                         decision,
                         ticket.job.attempts,
@@ -303,13 +303,15 @@
                 self._clock.now_s(),
             )
 
-    def _run_due(self) -> list[decision_lines.Line]:
+    def _run_due(self) -> list[decision_lines.DecisionLine]:
         """Carries out the decisions that are due; returns what to log."""
         lines = []
         for decision in self._dispatcher.place(self._clock.now_s()):
             ticket = self._tickets[decision.request_id]
             lines.append(
-                decision_lines.Line(ticket.job, decision, ticket.job.attempts)
+                decision_lines.DecisionLine(
+                    ticket.job, decision, ticket.job.attempts
+                )
             )
             if isinstance(decision, messages.Placement):
                 self._report_run(ticket.job, decision)
--- a/cardamombarrow/entry/broker_base.py
+++ b/cardamombarrow/entry/broker_base.py
@@ -367,5 +367,5 @@
             self._domain_broker.merge_quarantine(marks)
 
     @abc.abstractmethod
-    def _run_due(self) -> list[decision_lines.Line]:
+    def _run_due(self) -> list[decision_lines.DecisionLine]:
         """Carries out the decisions that are due; returns what to log."""
--- a/cardamombarrow/entry/call_runner.py
+++ b/cardamombarrow/entry/call_runner.py
@@ -151,7 +151,7 @@
         try:
             yield from relay.chunks
         except errors.RouterError as error:
-            self.services.metrics.error(error.kind, job.class_id)
+            self.services.metrics.count_error(error.kind, job.class_id)
             if not (relay.head.streams and sends_error_event):
                 # The caller detects the cut by a missing last chunk or by
                 # fewer bytes than announced.
--- a/cardamombarrow/entry/core.py
+++ b/cardamombarrow/entry/core.py
@@ -221,17 +221,19 @@
     if settings.platform.listing_shared:
         peering.membership.share_listing(watch)
     if source.names_endpoints:
-        readiness.require(
+        readiness.add_condition(
             lambda: None if broker.has_endpoints() else "no endpoint is known"
         )
-    readiness.require(
+    readiness.add_condition(
         lambda: (
             None if peering.lease.is_valid else "the document is unconfirmed"
         )
     )
     watch.look()
-    startup.serve(_app(settings, documents, runner, readiness, peering.lease))
-    side_startup.serve(
+    startup.forward_to(
+        _app(settings, documents, runner, readiness, peering.lease)
+    )
+    side_startup.forward_to(
         side_module.SideApp(
             instance, documents, runner, readiness, peering.lease
         )
--- a/cardamombarrow/entry/decision_lines.py
+++ b/cardamombarrow/entry/decision_lines.py
@@ -10,11 +10,11 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import logs
 
-__all__ = ["Line", "write"]
+__all__ = ["DecisionLine", "write"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
+class DecisionLine:
     """A decision to be logged once the lock is released.
 
     Attributes:
@@ -29,7 +29,7 @@
     asked_s: float = 0.0
 
 
-def write(lines: abc.Iterable[Line]) -> None:
+def write(lines: abc.Iterable[DecisionLine]) -> None:
     """Writes a line for each decision."""
     for line in lines:
         job = line.job
--- a/cardamombarrow/entry/gate.py
+++ b/cardamombarrow/entry/gate.py
@@ -1,6 +1,6 @@
 """Limits the concurrent requests of an entry, by tier and by workspace.
 
-Each request occupies a thread from its first byte to its last, and waits limit
+Each request occupies a thread from its first byte to its last, and waits most
 of that time. Without a bound, a flood of low-tier requests in the queue would
 take every thread, and a higher tier's request could not even be read. The
 bound is trunk reservation: a tier's request is admitted while the number of
--- a/cardamombarrow/entry/metrics.py
+++ b/cardamombarrow/entry/metrics.py
@@ -107,7 +107,7 @@
         with self._lock:
             self.waiting += change
 
-    def done(
+    def count_answer(
         self,
         job: messages.Job,
         first_token_s: float,
@@ -125,12 +125,12 @@
             self._requests[job.class_id, met] += 1
             self._goodput_tokens += tokens
 
-    def wasted(self, outcome: messages.Outcome, tokens: int) -> None:
+    def count_wasted(self, outcome: messages.Outcome, tokens: int) -> None:
         """Counts the tokens of a run whose answer was not completed."""
         with self._lock:
             self._wasted[outcome] += tokens
 
-    def error(
+    def count_error(
         self, kind: errors.ErrorKind, class_id: ids.ClassId | None = None
     ) -> None:
         """Counts an error answer; most kinds count as a missed target."""
@@ -144,7 +144,7 @@
         with self._lock:
             self._questions[outcome] += 1
 
-    def sent_under_limit(self) -> None:
+    def count_sent_under_limit(self) -> None:
         """Counts a request to an endpoint that states a rate limit."""
         with self._lock:
             self._sent_under_limit += 1
--- a/cardamombarrow/entry/placer.py
+++ b/cardamombarrow/entry/placer.py
@@ -107,7 +107,7 @@
             self.ended(owner, request_id, messages.Outcome.CALLER_GONE, 0)
         logs.event("entry left placer", instance=owner.instance, held=held)
 
-    def question(self, owner: Owner, job: messages.Job) -> None:
+    def handle_question(self, owner: Owner, job: messages.Job) -> None:
         """Handles a question; the answer is sent to the owner."""
         refusal = None
         if owner.is_full or job.request_id in owner.tickets:
--- a/cardamombarrow/entry/progress.py
+++ b/cardamombarrow/entry/progress.py
@@ -38,7 +38,7 @@
         """Time since the request arrived, in seconds."""
         return self._clock.now_s() - self._job.arrived_s
 
-    def sent(self) -> None:
+    def record_sent(self) -> None:
         """Records that the request is now sent to an endpoint."""
         self._sent_s = self.age_s
 
--- a/cardamombarrow/entry/readiness.py
+++ b/cardamombarrow/entry/readiness.py
@@ -21,7 +21,7 @@
         self.refusing = False
         self._conditions: list[Condition] = []
 
-    def require(self, condition: Condition) -> None:
+    def add_condition(self, condition: Condition) -> None:
         """Adds a condition."""
         self._conditions.append(condition)
 
--- a/cardamombarrow/entry/request_handler.py
+++ b/cardamombarrow/entry/request_handler.py
@@ -263,9 +263,9 @@
                     ) from None
 
     def _open(self, ticket: ticket_module.Ticket) -> endpoints_base.Exchange:
-        self._progress.sent()
+        self._progress.record_sent()
         if ticket.placed.result().limit_per_s is not None:
-            self._services.metrics.sent_under_limit()
+            self._services.metrics.count_sent_under_limit()
         return self._kind.open(self._outgoing(ticket))
 
     def _outgoing(
@@ -317,13 +317,13 @@
                     run = self._resume(run, error)
         except errors.RouterError as error:
             # Until here a resumed run could still have used these tokens.
-            self._services.metrics.wasted(
+            self._services.metrics.count_wasted(
                 answer_stream.OUTCOMES[error.kind], self._progress.tokens
             )
             raise
         except GeneratorExit:
             outcome = messages.Outcome.CALLER_GONE
-            self._services.metrics.wasted(outcome, self._progress.tokens)
+            self._services.metrics.count_wasted(outcome, self._progress.tokens)
             raise
 
     def _resume(self, run: _Run, error: errors.RouterError) -> _Run:
@@ -399,7 +399,7 @@
         progress = self._progress
         first_s, age_s = progress.first_token_s, progress.age_s
         if error is None:
-            self._services.metrics.done(
+            self._services.metrics.count_answer(
                 job, first_s or age_s, age_s, progress.tokens
             )
         logs.decision(
--- a/cardamombarrow/entry/routed.py
+++ b/cardamombarrow/entry/routed.py
@@ -99,7 +99,7 @@
         request_id: ids.RequestId,
         start_response: _StartResponse,
     ) -> abc.Iterable[bytes]:
-        self._runner.services.metrics.error(error.kind, error.class_id)
+        self._runner.services.metrics.count_error(error.kind, error.class_id)
         answer = self._protocol.error(error, request_id)
         logs.decision(
             "answer",
--- a/cardamombarrow/entry/startup_app.py
+++ b/cardamombarrow/entry/startup_app.py
@@ -39,7 +39,7 @@
         self._served = threading.Event()
         self._app: typing.Any = None
 
-    def serve(self, app: typing.Any) -> None:
+    def forward_to(self, app: typing.Any) -> None:
         """Forwards every held and later request to `app`."""
         self._app = app
         self._served.set()
--- a/cardamombarrow/entry/tests/test_metrics.py
+++ b/cardamombarrow/entry/tests/test_metrics.py
@@ -38,7 +38,7 @@
 def test_latency_and_attainment_are_reported_by_class():
     counted = metrics.Metrics()
     for number in range(1, 101):
-        counted.done(_job("question"), number / 50, 4.0, tokens=10)
+        counted.count_answer(_job("question"), number / 50, 4.0, tokens=10)
     seen = _read(counted)
     prefix = "cardamombarrow_"
     quantile = seen[
@@ -61,7 +61,7 @@
         errors.ErrorKind.BAD_REQUEST,
         errors.ErrorKind.CALLER_GONE,
     ):
-        counted.error(kind, ids.ClassId("question"))
+        counted.count_error(kind, ids.ClassId("question"))
     seen = _read(counted)
     labels = '{class="question",target="missed"}'
     assert seen["cardamombarrow_requests_total" + labels] == 1
@@ -71,7 +71,7 @@
 
 def test_wasted_tokens_are_reported_by_reason():
     counted = metrics.Metrics()
-    counted.wasted(messages.Outcome.CRASHED, 40)
-    counted.wasted(messages.Outcome.CRASHED, 2)
+    counted.count_wasted(messages.Outcome.CRASHED, 40)
+    counted.count_wasted(messages.Outcome.CRASHED, 2)
     name = 'cardamombarrow_wasted_tokens_total{reason="crashed"}'
     assert _read(counted)[name] == 42
--- a/cardamombarrow/entry/tests/test_startup_hold.py
+++ b/cardamombarrow/entry/tests/test_startup_hold.py
@@ -65,7 +65,7 @@
     answers = []
     caller = threading.Thread(target=lambda: answers.append(_ask(app)))
     caller.start()
-    app.serve(lambda environ, start: start("200 OK", []) or [])
+    app.forward_to(lambda environ, start: start("200 OK", []) or [])
     caller.join()
     assert answers == ["200"]
 
--- a/cardamombarrow/peers/placing_service.py
+++ b/cardamombarrow/peers/placing_service.py
@@ -149,7 +149,7 @@
         match event.WhichOneof("kind"):
             case "question":
                 job = placing_codec.job_from_wire(event.question, now_s)
-                self._placer.question(owner, job)
+                self._placer.handle_question(owner, job)
             case "run":
                 run = placing_codec.run_from_wire(event.run, now_s)
                 self._placer.run(owner, run)
--- a/cardamombarrow/peers/tests/test_placing.py
+++ b/cardamombarrow/peers/tests/test_placing.py
@@ -291,7 +291,7 @@
     done = []
     placer = placer_module.Placer(broker.for_domain, lambda call: call())
     before = placer.join(ids.InstanceId("entry-2"), 1, done.append)
-    placer.question(before, _job(1))
+    placer.handle_question(before, _job(1))
     after = placer.join(ids.InstanceId("entry-2"), 2, done.append)
     assert after is not None
     assert placer.join(ids.InstanceId("entry-2"), 1, done.append) is None
@@ -313,7 +313,7 @@
     placer = placer_module.Placer(broker.for_domain, lambda call: call())
     owner = placer.join(ids.InstanceId("entry-2"), 1, told.append)
     for number in range(5):
-        placer.question(owner, _job(number))
+        placer.handle_question(owner, _job(number))
     refused = [
         answer.decision.kind
         for answer in told
--- a/cardamombarrow/platform/caller.py
+++ b/cardamombarrow/platform/caller.py
@@ -124,7 +124,7 @@
         found = [("Content-Type", "application/json")]
         if error.retry_after_s is not None:
             found.append(("Retry-After", f"{error.retry_after_s:.3f}"))
-        body = answers.failure(error, request_id)
+        body = answers.error_body(error, request_id)
         return protocol.ErrorAnswer(status, tuple(found), body)
 
 
