--- a/cardamombarrow/entry/incoming.py
+++ b/cardamombarrow/entry/incoming.py
@@ -288,7 +288,7 @@
         raise too_large from None
     except (exceptions.ClientDisconnected, OSError):
         raise errors.RefusedError(
-            errors.ErrorKind.BAD_REQUEST, "the body is incomplete"
+            errors.ErrorKind.BAD_REQUEST, "the body did not come whole"
         ) from None
     # werkzeug silently truncates a body without an announced length at the
     # limit: the endpoint would get a truncated request.
