--- a/cardamombarrow/entry/core.py
+++ b/cardamombarrow/entry/core.py
@@ -170,7 +170,7 @@
     for server in (web, *side):
         server.start()
     logs.event("entry starting", port=web.port)
-    peering.take_first_document()
+    peering.fetch_first_document()
     retries = settings.retries
     broker = broker_module.Broker(
         documents.current().document,
--- a/cardamombarrow/entry/crash_detector.py
+++ b/cardamombarrow/entry/crash_detector.py
@@ -21,7 +21,7 @@
 
 __all__ = ["CrashDetector"]
 
-SAME_DEATH_S = 1.0
+SAME_CRASH_S = 1.0
 """A connection that breaks within this time after a probe that found a crash is
 attributed to the same crash: its thread noticed it late."""
 
@@ -46,7 +46,7 @@
         """Returns whether a connection that breaks now has the same cause."""
         if self.settled_s is None:
             return True
-        return self.settled.result() and now_s < self.settled_s + SAME_DEATH_S
+        return self.settled.result() and now_s < self.settled_s + SAME_CRASH_S
 
 
 class CrashDetector:
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -208,7 +208,7 @@
         if self._node is not None:
             self._node.set_seeds((*self._settings.peers.seeds, *reply.entries))
 
-    def take_first_document(self) -> None:
+    def fetch_first_document(self) -> None:
         """Starts the links to control processes and waits for a document.
 
         If documents have to be confirmed, any revision may be the first one:
--- a/cardamombarrow/entry/request_handler.py
+++ b/cardamombarrow/entry/request_handler.py
@@ -156,12 +156,12 @@
                 )
                 raise
             else:
-                new_ticket = self._redo_failure(run)
+                new_ticket = self._retry_failure(run)
                 if new_ticket is None:
                     return run
                 ticket = new_ticket
 
-    def _redo_failure(self, run: _Run) -> ticket_module.Ticket | None:
+    def _retry_failure(self, run: _Run) -> ticket_module.Ticket | None:
         """Queues a request again after a failure answer of its endpoint.
 
         Returns:
--- a/cardamombarrow/peers/placing_client.py
+++ b/cardamombarrow/peers/placing_client.py
@@ -1,8 +1,8 @@
 """An entry's way to the placer of its domain: the side that asks.
 
-One task keeps a standing stream to whom `placing.ranking` names. A question that
-gets no answer in time, or whose stream is lost, goes back to the entry's own
-dispatcher at once; nothing waits for a placer to come back.
+One task keeps a stream to the placer that `placing.ranking` selects. A question
+that gets no answer in time, or whose stream is lost, goes back to the entry's
+own dispatcher at once; nothing waits for a placer to come back.
 """
 
 import asyncio
