--- a/cardamombarrow/entry/pieces.py
+++ b/cardamombarrow/entry/answer_stream.py
@@ -1,4 +1,4 @@
-"""What is read of an answer on its way, and how its end is called."""
+"""Buffering of relayed answers, and the outcomes of runs."""
 
 from collections import abc
 
@@ -7,13 +7,13 @@
 from cardamombarrow.kernel import errors
 
 __all__ = [
+    "BUFFERED_ANSWER_BYTES",
     "EVENT_END",
     "OUTCOMES",
-    "WHOLE_BYTES",
+    "complete_events",
     "failure_of",
-    "is_short",
+    "is_buffered",
     "outcome_of",
-    "whole_events",
 ]
 
 OUTCOMES = {
@@ -31,14 +31,14 @@
 
 EVENT_END = b"\n\n"
 
-WHOLE_BYTES = 65_536
-"""Answers of an announced length up to this are read whole before any of it
-goes out: one that breaks off can then be redone, and one that can't is told as
-a failure, not as half an answer."""
+BUFFERED_ANSWER_BYTES = 65_536
+"""Answers with an announced length up to this are read completely before any
+of it is sent: one that is cut off can then be retried, or is reported as a
+failure instead of a partial answer."""
 
 
 def failure_of(head: endpoints_base.Head) -> errors.EndpointError:
-    """Returns the error for an endpoint's own failure answer."""
+    """Returns the error for a failure answer of an endpoint."""
     return errors.EndpointError(
         errors.ErrorKind.ENDPOINT_FAILED,
         f"the endpoint answered {head.status}",
@@ -47,31 +47,31 @@
 
 
 def outcome_of(error: errors.RouterError | None) -> messages.Outcome:
-    """Returns how a run ended that ended with an error, or with none."""
+    """Returns the outcome of a run that ended with an error, or with none."""
     return messages.Outcome.DONE if error is None else OUTCOMES[error.kind]
 
 
-def is_short(head: endpoints_base.Head) -> bool:
-    """Tells whether an answer is read whole before any of it goes out."""
+def is_buffered(head: endpoints_base.Head) -> bool:
+    """Returns whether an answer is read completely before any of it is sent."""
     length = head.headers.get("content-length", "")
     return (
         not head.streams
         and length.isascii()
         and length.isdigit()
-        and int(length) <= WHOLE_BYTES
+        and int(length) <= BUFFERED_ANSWER_BYTES
     )
 
 
-def whole_events(chunks: abc.Iterator[bytes]) -> abc.Iterator[bytes]:
-    """Holds back what follows the last whole event.
+def complete_events(chunks: abc.Iterator[bytes]) -> abc.Iterator[bytes]:
+    """Yields only complete events; buffers a partial one.
 
-    A stream that is resumed goes on with a whole event. Had half of one been
-    relayed before the cut, the caller would read both as one.
+    A resumed stream continues with a complete event. If part of an event had
+    been relayed before the cut, the caller would read both as one event.
     """
-    held = b""
+    partial = b""
     for chunk in chunks:
-        whole, end, held = (held + chunk).rpartition(EVENT_END)
+        whole, end, partial = (partial + chunk).rpartition(EVENT_END)
         if end:
             yield whole + end
-    if held:
-        yield held
+    if partial:
+        yield partial
--- a/cardamombarrow/entry/app.py
+++ b/cardamombarrow/entry/app.py
@@ -8,10 +8,10 @@
 from werkzeug import wrappers
 
 from cardamombarrow.entry import answers
+from cardamombarrow.entry import call_runner as call_runner_module
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import incoming
 from cardamombarrow.entry import readiness as readiness_module
-from cardamombarrow.entry import relaying as relaying_module
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 
@@ -47,15 +47,15 @@
     def __init__(
         self,
         instance: ids.InstanceId,
-        documents: in_force.InForce,
-        relaying: relaying_module.Relaying,
+        documents: in_force.DocumentInForce,
+        runner: call_runner_module.CallRunner,
         readiness: readiness_module.Readiness,
         body_limit_bytes: int,
     ):
         self._instance = instance
         self._documents = documents
-        self._relaying = relaying
-        self._services = relaying.services
+        self._runner = runner
+        self._services = runner.services
         self._readiness = readiness
         self._body_limit_bytes = body_limit_bytes
 
@@ -69,10 +69,10 @@
         try:
             response = self._dispatch(request, request_id)
         except errors.RouterError as error:
-            self._services.metrics.error(error.kind, error.class_id)
+            self._services.metrics.count_error(error.kind, error.class_id)
             response = answers.error_response(error, request_id)
         except Exception as error:
-            self._services.metrics.error(errors.ErrorKind.INTERNAL)
+            self._services.metrics.count_error(errors.ErrorKind.INTERNAL)
             failure = answers.internal_error(error, request_id)
             response = answers.error_response(failure, request_id)
         return response(environ, start_response)
@@ -108,7 +108,7 @@
     def _on_metrics(
         self, request: wrappers.Request, request_id: ids.RequestId
     ) -> wrappers.Response:
-        text = self._relaying.metrics_text()
+        text = self._runner.metrics_text()
         return wrappers.Response(text, content_type="text/plain; version=0.0.4")
 
     def _on_instance(
@@ -153,13 +153,13 @@
     def _run(
         self, request: wrappers.Request, call: incoming.IncomingCall
     ) -> wrappers.Response:
-        relaying = self._relaying
+        runner = self._runner
         run = (
-            relaying.run_plain
+            runner.run_plain
             if call.job.repeatable
-            else relaying.run_claimed(call)
+            else runner.run_claimed(call)
         )
-        relay = relaying.begin(request.environ, call, run, tells_breaks=True)
+        relay = runner.begin(request.environ, call, run, sends_error_event=True)
         headers = {
             name: relay.head.headers[name]
             for name in _RELAYED_HEADERS
--- a/cardamombarrow/entry/core.py
+++ b/cardamombarrow/entry/core.py
@@ -1,4 +1,4 @@
-"""The entry process: wiring of its parts."""
+"""The entry process: connects its parts."""
 
 import pathlib
 import random
@@ -12,20 +12,20 @@
 from cardamombarrow.endpoints import base as endpoints_base
 from cardamombarrow.entry import app as app_module
 from cardamombarrow.entry import broker as broker_module
-from cardamombarrow.entry import crashes
+from cardamombarrow.entry import call_runner as call_runner_module
+from cardamombarrow.entry import crash_detector
 from cardamombarrow.entry import gate as gate_module
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import lease as lease_module
-from cardamombarrow.entry import life
 from cardamombarrow.entry import metrics
 from cardamombarrow.entry import peering as peering_module
 from cardamombarrow.entry import protocol as protocol_module
 from cardamombarrow.entry import readiness as readiness_module
-from cardamombarrow.entry import relaying as relaying_module
+from cardamombarrow.entry import request_handler
 from cardamombarrow.entry import routed
 from cardamombarrow.entry import settings as settings_module
 from cardamombarrow.entry import side as side_module
-from cardamombarrow.entry import starting as starting_module
+from cardamombarrow.entry import startup_app as startup_app_module
 from cardamombarrow.kernel import clock
 from cardamombarrow.kernel import http
 from cardamombarrow.kernel import ids
@@ -43,53 +43,53 @@
     "cardamombarrow.endpoints.engine",
     "cardamombarrow.endpoints.plain",
 )
-"""Modules whose import registers the project's own endpoint kinds and list."""
+"""Modules whose import registers the built-in endpoint kinds and listing."""
 
-DRAIN_LOOK_S = 0.05
+DRAIN_POLL_S = 0.05
 
 OPENAI = "openai"
 """The caller protocol whose requests name models and plain services."""
 
 
 class _Drain(lifecycle.Part):
-    """Turns unready at a stop, refuses later, and waits for what runs.
+    """Drains at a stop: becomes unready, then refuses, then waits.
 
-    A balancer goes on sending for some seconds after the instance turned
-    unready. An instance that closed its port at once would cut those callers;
-    one that served them to the end would be killed in the middle of answers.
+    A balancer goes on sending for some seconds after the instance becomes
+    unready. If the instance closed its port at once, those callers would be
+    cut off; if it accepted all of them, it would be killed during answers.
     """
 
     def __init__(
         self,
         readiness: readiness_module.Readiness,
-        relaying: relaying_module.Relaying,
+        runner: call_runner_module.CallRunner,
         calls: settings_module.CallSettings,
     ):
         self._readiness = readiness
-        self._relaying = relaying
+        self._runner = runner
         self._calls = calls
 
     def start(self) -> None:
         """Does nothing."""
 
     def stop(self) -> None:
-        """Turns unready, waits, refuses, and waits for what is served."""
+        """Becomes unready, waits, refuses, and waits for running requests."""
         begin_s = time.monotonic()
         self._readiness.draining = True
         notice_s = self._calls.drain_notice_s
-        logs.event("draining", notice_s=notice_s, held=self._relaying.held)
+        logs.event("draining", notice_s=notice_s, held=self._runner.held)
         time.sleep(notice_s)
         self._readiness.refusing = True
-        logs.event("refusing", held=self._relaying.held)
+        logs.event("refusing", held=self._runner.held)
         end_s = begin_s + self._calls.drain_most_s
-        while self._relaying.held and time.monotonic() < end_s:
-            time.sleep(DRAIN_LOOK_S)
+        while self._runner.held and time.monotonic() < end_s:
+            time.sleep(DRAIN_POLL_S)
 
 
 def _kinds(
     protocol: str,
 ) -> dict[schema.ServiceKind, endpoints_base.EndpointKind]:
-    """Returns how each kind of service's endpoints are spoken to."""
+    """Returns the endpoint protocol of each kind of service."""
     prefix = "" if protocol == OPENAI else f"{protocol}."
     return {
         kind: registry.lookup("endpoint-kind", f"{prefix}{kind.value}")()
@@ -99,24 +99,24 @@
 
 def _app(
     settings: settings_module.EntrySettings,
-    documents: in_force.InForce,
-    relaying: relaying_module.Relaying,
+    documents: in_force.DocumentInForce,
+    runner: call_runner_module.CallRunner,
     readiness: readiness_module.Readiness,
     lease: lease_module.DocumentLease,
 ) -> typing.Any:
-    """Returns the application that callers speak to."""
+    """Returns the application that serves callers."""
     protocol = settings.calls.protocol
     if protocol == OPENAI:
         return app_module.App(
             ids.InstanceId(settings.instance.id),
             documents,
-            relaying,
+            runner,
             readiness,
             settings.calls.body_limit_bytes,
         )
     return routed.RoutedApp(
         documents,
-        relaying,
+        runner,
         registry.lookup(protocol_module.SLOT, protocol)(),
         lease,
         random.Random(),
@@ -144,14 +144,14 @@
 def run(
     settings: settings_module.EntrySettings, path: pathlib.Path | None = None
 ) -> None:
-    """Runs an entry process until it is told to stop.
+    """Runs an entry process until it is stopped.
 
     Args:
         settings: Its settings.
-        path: The file they came from, to be looked at for changes.
+        path: The settings file, to be watched for changes.
 
     Raises:
-        errors.UnavailableError: No instance gave a document in time.
+        errors.UnavailableError: No instance provided a document in time.
     """
     lifecycle.ignore_hangup()
     logs.configure(settings.log.level, "entry", settings.instance.id)
@@ -160,17 +160,17 @@
     source = registry.lookup(discovery.SLOT, settings.platform.discovery)()
     instance = ids.InstanceId(settings.instance.id)
     domain = ids.DomainId(settings.instance.domain)
-    documents = in_force.InForce()
+    documents = in_force.DocumentInForce()
     time_source = clock.SystemClock()
     peering = peering_module.Peering(settings, documents, time_source)
-    starting = starting_module.Starting(starting_module.HOLD_S)
-    side_starting = starting_module.Starting()
-    web = http.HttpServer(settings.http, starting)
-    side = _side_servers(settings, side_starting)
+    startup = startup_app_module.StartupApp(startup_app_module.HOLD_S)
+    side_startup = startup_app_module.StartupApp()
+    web = http.HttpServer(settings.http, startup)
+    side = _side_servers(settings, side_startup)
     for server in (web, *side):
         server.start()
-    logs.event("entry starts", port=web.port)
-    peering.take_first_document()
+    logs.event("entry starting", port=web.port)
+    peering.fetch_first_document()
     retries = settings.retries
     broker = broker_module.Broker(
         documents.current().document,
@@ -186,22 +186,22 @@
     ledger = settler.Settler(
         ledger_client.RemoteLedger(peering.control.propose)
     )
-    services = life.LifeServices(
+    services = request_handler.RequestServices(
         broker,
         ledger,
         kinds,
         time_source,
-        crashes.Crashes(broker),
+        crash_detector.CrashDetector(broker),
         counts,
         peering.meter,
     )
     readiness = readiness_module.Readiness()
     gate = gate_module.Gate(settings.http.connections, random.Random())
-    relaying = relaying_module.Relaying(
+    runner = call_runner_module.CallRunner(
         instance, documents, services, gate, readiness
     )
 
-    def apply(applied: in_force.Applied) -> None:
+    def apply(applied: in_force.AppliedDocument) -> None:
         broker.configure(applied.document)
         peering.membership.on_document(applied.document)
 
@@ -221,22 +221,24 @@
     if settings.platform.listing_shared:
         peering.membership.share_listing(watch)
     if source.names_endpoints:
-        readiness.require(
+        readiness.add_condition(
             lambda: None if broker.has_endpoints() else "no endpoint is known"
         )
-    readiness.require(
-        lambda: None if peering.lease.holds else "the document is in doubt"
+    readiness.add_condition(
+        lambda: (
+            None if peering.lease.is_valid else "the document is unconfirmed"
+        )
     )
     watch.refresh()
-    starting.serve(
-        _app(settings, documents, relaying, readiness, peering.lease)
+    startup.forward_to(
+        _app(settings, documents, runner, readiness, peering.lease)
     )
-    side_starting.serve(
+    side_startup.forward_to(
         side_module.SideApp(
-            instance, documents, relaying, readiness, peering.lease
+            instance, documents, runner, readiness, peering.lease
         )
     )
-    drain = _Drain(readiness, relaying, settings.calls)
+    drain = _Drain(readiness, runner, settings.calls)
     parts = [*side, poller, watch, broker, peering, ledger, web, drain]
     reloader = None
     if path is not None:
--- a/cardamombarrow/entry/decision_lines.py
+++ b/cardamombarrow/entry/decision_lines.py
@@ -1,7 +1,7 @@
 """The log lines of the dispatcher's decisions.
 
-They are made once the dispatcher's lock is released: every thread waits for
-that lock, and none should wait for another's JSON.
+They are formatted after the dispatcher's lock is released: every request
+thread waits for that lock and should not wait for JSON encoding as well.
 """
 
 from collections import abc
@@ -10,16 +10,16 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import logs
 
-__all__ = ["Line", "write"]
+__all__ = ["DecisionLine", "write"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
+class DecisionLine:
     """A decision to be logged once the lock is released.
 
     Attributes:
-        placer: The instance that decided, where the placer was asked.
-        asked_s: Time from the question to its decision.
+        placer: The instance that decided; empty for a local decision.
+        asked_s: Time from the question to the decision, in seconds.
     """
 
     job: messages.Job
@@ -29,7 +29,7 @@
     asked_s: float = 0.0
 
 
-def write(lines: abc.Iterable[Line]) -> None:
+def write(lines: abc.Iterable[DecisionLine]) -> None:
     """Writes a line for each decision."""
     for line in lines:
         job = line.job
--- a/cardamombarrow/entry/in_force.py
+++ b/cardamombarrow/entry/in_force.py
@@ -14,18 +14,22 @@
 from cardamombarrow.kernel import logs
 from cardamombarrow.peers import control_pb2
 
-__all__ = ["Applied", "InForce", "take_first"]
+__all__ = ["AppliedDocument", "DocumentInForce", "fetch_first"]
 
 NO_QUORUM_WAIT_S = 3.0
-"""How long a start waits for a control process with a quorum. A cut-off
-domain has none, and then starts with the highest document it can find."""
+"""How long a start waits for a control process with a quorum. A domain that is
+cut off has none and then starts with the highest revision it can find."""
 
-ASK_PAUSE_S = 0.2
+QUERY_INTERVAL_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
-class Applied:
-    """One revision, parsed."""
+class AppliedDocument:
+    """One parsed revision of the document.
+
+    Attributes:
+        format: The plug-in that parsed the text.
+    """
 
     revision: ids.Revision
     text: str
@@ -35,32 +39,37 @@
     format: str = formats.SECTIONS
 
 
-class InForce:
-    """Holds the highest revision heard of; never goes back to a lower one.
+class DocumentInForce:
+    """Holds the highest revision received; never reverts to a lower one.
 
     A control process that was cut off may still offer an old revision when it
-    is reached again. Taking it would revert an accepted edit.
+    is reached again. Applying it would revert an accepted edit.
     """
 
     def __init__(self):
-        self._applied: Applied | None = None
+        self._applied: AppliedDocument | None = None
         self._first = threading.Event()
         self._lock = threading.Lock()
-        self._listeners: list[abc.Callable[[Applied], None]] = []
+        self._listeners: list[abc.Callable[[AppliedDocument], None]] = []
 
-    def add_listener(self, listener: abc.Callable[[Applied], None]) -> None:
-        """Calls `listener` with each revision that comes into force."""
+    def add_listener(
+        self, listener: abc.Callable[[AppliedDocument], None]
+    ) -> None:
+        """Calls `listener` with each revision that is put into force."""
         self._listeners.append(listener)
 
     def offer(
         self, revision: ids.Revision, text: str, format_name: str = ""
     ) -> bool:
-        """Takes an accepted document; returns whether it was newer.
+        """Puts an accepted document into force if it is newer.
 
         Args:
             revision: Its number.
-            text: What the operator wrote.
-            format_name: The plug-in that reads it; empty is INI sections.
+            text: Its text as written by the operator.
+            format_name: The plug-in that parses it; empty for INI sections.
+
+        Returns:
+            Whether it was newer.
         """
         format_name = format_name or formats.SECTIONS
         with self._lock:
@@ -69,7 +78,7 @@
             document = formats.parse(format_name, text)
             keys = incoming.KeyIndex(document)
             routes = routes_module.RouteIndex(document)
-            self._applied = Applied(
+            self._applied = AppliedDocument(
                 revision, text, document, keys, routes, format_name
             )
             for listener in self._listeners:
@@ -79,49 +88,53 @@
         return True
 
     def revision_and_text(self) -> tuple[ids.Revision, str]:
-        """Returns what is in force as text; revision 0 before the first."""
+        """Returns the revision in force and its text; 0 and "" before any."""
         with self._lock:
             if self._applied is None:
                 return ids.Revision(0), ""
             return self._applied.revision, self._applied.text
 
     def wait_first(self, timeout_s: float) -> bool:
-        """Waits until any document is in force."""
+        """Waits until a document is in force; returns whether there is one."""
         return self._first.wait(timeout_s)
 
-    def current(self) -> Applied:
-        """Returns what is in force; call only after `wait_first`."""
+    def current(self) -> AppliedDocument:
+        """Returns the document in force; call only after `wait_first`."""
         assert self._applied is not None
         return self._applied
 
     @property
     def revision(self) -> ids.Revision:
-        """The revision in force, 0 before the first."""
+        """The revision in force; 0 before the first one."""
         return self._applied.revision if self._applied else ids.Revision(0)
 
 
-Ask = abc.Callable[[], list[futures.Future[control_pb2.DocumentMessage | None]]]
+QuerySources = abc.Callable[
+    [], list[futures.Future[control_pb2.DocumentMessage | None]]
+]
 
 
-def take_first(documents: InForce, ask: Ask, timeout_s: float) -> bool:
-    """Takes the highest revision that the sources have, before serving.
+def fetch_first(
+    documents: DocumentInForce, query: QuerySources, timeout_s: float
+) -> bool:
+    """Puts the highest revision that the sources have into force at the start.
 
-    A restarted instance remembers nothing. Taking whatever comes first could
-    be the old document of a control process that is cut off; callers would
-    see an accepted edit reverted. So all sources are asked, and while no
-    control process with a quorum is among them, asked again for a while.
+    A restarted instance has no document. The first one to arrive could be an
+    old revision of a control process that is cut off, which would revert an
+    accepted edit. So all sources are queried, and while no control process
+    with a quorum answers, queried again for up to `NO_QUORUM_WAIT_S`.
 
     Args:
-        documents: Where the document is put.
-        ask: Asks every source; a future is None where none answered.
-        timeout_s: Longest wait.
+        documents: Where the document is put into force.
+        query: Queries all sources; a result of None means no answer.
+        timeout_s: Longest wait, in seconds.
 
     Returns:
         Whether any document is in force.
     """
     start_s = time.monotonic()
     while time.monotonic() - start_s < timeout_s:
-        messages = [future.result() for future in ask()]
+        messages = [future.result() for future in query()]
         found = [message for message in messages if message and message.text]
         certain = any(message.has_quorum for message in found)
         waited = time.monotonic() - start_s >= NO_QUORUM_WAIT_S
@@ -129,5 +142,5 @@
             best = max(found, key=lambda message: message.revision)
             documents.offer(ids.Revision(best.revision), best.text, best.format)
             return True
-        time.sleep(ASK_PAUSE_S)
+        time.sleep(QUERY_INTERVAL_S)
     return documents.revision > 0
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -40,52 +40,56 @@
 from cardamombarrow.peers import placing_service
 from cardamombarrow.peers import server as server_module
 
-__all__ = ["Peering", "meet"]
+__all__ = ["Peering", "probe_controls"]
 
 FIRST_DOCUMENT_TIMEOUT_S = 60.0
 
-MEET_TRIES = 2
-"""How often all control processes are asked before one is followed: they may
+PROBE_TRIES = 2
+"""How often all control processes are probed before one is followed: they may
 still be starting."""
 
-MEET_S = 0.3
-"""Longest wait for all their answers: a connection and a question over 30 ms
-one way take half of it. One that is dark does not answer at all, and with
-`ASK_TIMEOUT_S` twice a start took 4 s longer beside it."""
+PROBE_WAIT_S = 0.3
+"""Longest wait for all their answers: connecting and one query at 30 ms one-way
+delay take half of it. A control process without power does not answer at all;
+waiting `QUERY_TIMEOUT_S` for it twice delayed a start by 4 s."""
 
-ASK_TIMEOUT_S = 2.0
-"""Longest wait for one source of the first document."""
+QUERY_TIMEOUT_S = 2.0
+"""Longest wait for each source of the first document."""
 
 BOOT_BYTES = 4
-"""Random bytes that tell one start of an entry from another."""
+"""Random bytes that distinguish the starts of an entry."""
 
 
-_Asked = list[futures.Future[control_pb2.DocumentMessage | None]]
+_PendingReplies = list[futures.Future[control_pb2.DocumentMessage | None]]
 
 
-def meet(ask: abc.Callable[[], _Asked]) -> None:
-    """Asks all control processes, to learn which is near.
+def probe_controls(query: abc.Callable[[], _PendingReplies]) -> None:
+    """Queries all control processes, to measure which is nearest.
 
     Args:
-        ask: Asks each; a future is None where one does not answer.
+        query: Queries each; the result is None for one that does not answer.
     """
-    for _ in range(MEET_TRIES):
-        answered, silent = futures.wait(ask(), MEET_S)
+    for _ in range(PROBE_TRIES):
+        answered, silent = futures.wait(query(), PROBE_WAIT_S)
         if silent or all(each.result() is not None for each in answered):
             return
 
 
 class Peering(lifecycle.Part):
-    """All that an entry hears from and tells other instances.
+    """An entry's communication with other instances.
 
     Attributes:
+        membership: The members of the domain; None before `join`.
         control: The link to the control processes.
+        lease: The age of the last confirmation of the document.
+        time: The time agreed with the control processes.
+        meter: Counts usage by workspace.
     """
 
     def __init__(
         self,
         settings: settings_module.EntrySettings,
-        documents: in_force.InForce,
+        documents: in_force.DocumentInForce,
         time_source: clock.Clock,
     ):
         self._settings = settings
@@ -98,11 +102,11 @@
         self._server: server_module.PeerServer | None = None
         self.membership: gossip_bridge_module.GossipBridge | None = None
         self._broker: broker_module.Broker | None = None
-        self._asking: placing_client.PlacingClient | None = None
+        self._remote_placer: placing_client.PlacingClient | None = None
         self._placer: placer_module.Placer | None = None
-        self._teller: load_publisher.LoadPublisher | None = None
-        self._found: tuple[messages.KnownEndpoint, ...] = ()
-        self._kept_number = 0
+        self._load_publisher: load_publisher.LoadPublisher | None = None
+        self._found_endpoints: tuple[messages.KnownEndpoint, ...] = ()
+        self._cache_report_number = 0
         self.control = control_client.ControlClient(
             self._loop,
             settings.peers.control_addresses(),
@@ -123,7 +127,7 @@
         self.meter = meter_module.Meter(
             settings.metering.window_s, self.time.unix_s
         )
-        self._confirming = confirmation_loop_module.ConfirmationLoop(
+        self._confirmation_loop = confirmation_loop_module.ConfirmationLoop(
             self._loop,
             self.control,
             self._confirm_request,
@@ -146,7 +150,7 @@
 
     def _confirm_request(self, address: str) -> control_pb2.ConfirmRequest:
         usage, self._usage_number = self.meter.unconfirmed(address)
-        news = (
+        cache_changes = (
             []
             if self._broker is None
             else self._broker.take_cache_announcements()
@@ -155,8 +159,8 @@
             instance=self._instance,
             domain=self._domain,
             applied_revision=self._documents.revision,
-            kept=cache_report_codec.cache_reports_to_wire(news),
-            kept_since=self._kept_number,
+            kept=cache_report_codec.cache_reports_to_wire(cache_changes),
+            kept_since=self._cache_report_number,
             usage=[
                 metering_collector.usage_to_wire(
                     board.SourceCounts(
@@ -200,48 +204,48 @@
             self.control.set_controls(tuple(reply.controls))
         if self._broker is not None:
             self._broker.set_instances(max(reply.entry_count, 1))
-            self._kept_number = reply.kept_number
+            self._cache_report_number = reply.kept_number
             known = self.membership.endpoints_by_hash()
             self._broker.merge_cache_announcements(
                 cache_report_codec.cache_reports_from_wire(reply.kept, known)
             )
-        if self._teller is not None:
-            self._teller.set_placers(reply.placers)
+        if self._load_publisher is not None:
+            self._load_publisher.set_placers(reply.placers)
         if self._node is not None:
             self._node.set_seeds((*self._settings.peers.seeds, *reply.entries))
 
-    def take_first_document(self) -> None:
-        """Starts the links to control and waits for a document.
+    def fetch_first_document(self) -> None:
+        """Starts the links to control processes and waits for a document.
 
-        Where documents have to be confirmed, the first one may be any: no
-        request is let in before a majority has confirmed it.
+        If documents have to be confirmed, any revision may be the first one:
+        no request is admitted before a majority has confirmed it.
 
         Raises:
-            errors.UnavailableError: No instance gave a document in time.
+            errors.UnavailableError: No instance provided a document in time.
         """
         self._loop.start()
-        if self.lease.bound_s:
-            meet(lambda: self.control.documents(ASK_TIMEOUT_S))
+        if self.lease.max_age_s:
+            probe_controls(lambda: self.control.documents(QUERY_TIMEOUT_S))
             self.control.start()
-            self._confirming.start()
+            self._confirmation_loop.start()
             while not self._documents.wait_first(FIRST_DOCUMENT_TIMEOUT_S):
                 logs.event("no document yet", "WARNING")
             return
-        if not in_force.take_first(
-            self._documents, self._ask, FIRST_DOCUMENT_TIMEOUT_S
+        if not in_force.fetch_first(
+            self._documents, self._query_sources, FIRST_DOCUMENT_TIMEOUT_S
         ):
             raise errors.UnavailableError(
                 errors.ErrorKind.NOT_READY,
-                "neither a control process nor an entry gave a document; "
+                "neither a control process nor an entry provided a document; "
                 "see [peers] controls and seeds",
             )
         self.control.start()
 
-    def _ask(self) -> _Asked:
+    def _query_sources(self) -> _PendingReplies:
         peers = self._settings.peers
-        return self.control.documents(ASK_TIMEOUT_S) + [
+        return self.control.documents(QUERY_TIMEOUT_S) + [
             self._loop.call(
-                gossip_node.fetch_document(seed, peers.secret, ASK_TIMEOUT_S)
+                gossip_node.fetch_document(seed, peers.secret, QUERY_TIMEOUT_S)
             )
             for seed in peers.seeds
         ]
@@ -252,11 +256,11 @@
         broker: broker_module.Broker,
         counts: metrics_module.Metrics,
     ) -> poller_module.Poller:
-        """Builds the gossip; returns the poller that it steers.
+        """Builds the gossip; returns the poller that it controls.
 
         Args:
-            kinds: How each kind of service's endpoints are spoken to.
-            broker: What is told to others, and is told.
+            kinds: The endpoint protocol of each kind of service.
+            broker: The broker whose state is exchanged with other instances.
             counts: Where questions to the placer are counted.
         """
         self._broker = broker
@@ -287,7 +291,7 @@
         )
         placer = placer_module.Placer(broker.for_domain, self._loop.call_soon)
         self._placer = placer
-        self._teller = load_publisher.LoadPublisher(
+        self._load_publisher = load_publisher.LoadPublisher(
             self._loop,
             self._instance,
             peers.secret,
@@ -307,7 +311,7 @@
             ],
         )
         if peers.ask_placer:
-            self._asking = placing_client.PlacingClient(
+            self._remote_placer = placing_client.PlacingClient(
                 self._loop,
                 self._instance,
                 peers.secret,
@@ -316,10 +320,10 @@
                     runs=broker.runs,
                     on_answer=broker.on_answer,
                     fall_back=broker.fall_back,
-                    count=counts.asked,
+                    count=counts.count_question,
                 ),
             )
-            broker.set_asking(self._asking)
+            broker.set_remote_placer(self._remote_placer)
         return poller
 
     def _hooks(self) -> gossip_node.GossipHooks:
@@ -357,11 +361,11 @@
     def on_listing(
         self, items: list[discovery.ListedEndpoint], names_endpoints: bool
     ) -> None:
-        """Takes the list of endpoints.
+        """Applies the platform's list of endpoints.
 
         Args:
-            items: What it says.
-            names_endpoints: Whether it says which endpoints there are.
+            items: Its items.
+            names_endpoints: Whether the list defines which endpoints exist.
         """
         self.membership.on_listing(
             (item.endpoint, item.state is discovery.ListedState.LEAVING)
@@ -375,8 +379,8 @@
             )
             for item in items
         )
-        if found != self._found:
-            self._found = found
+        if found != self._found_endpoints:
+            self._found_endpoints = found
             logs.decision(
                 "endpoints", endpoints=[each.endpoint for each in found]
             )
@@ -384,26 +388,26 @@
             self.membership.on_discovered(found)
 
     def on_settings(self, settings: settings_module.EntrySettings) -> None:
-        """Takes another list of control processes."""
+        """Applies a changed list of control processes."""
         self.control.set_controls(settings.peers.control_addresses())
 
     def start(self) -> None:
         """Starts gossip; call after `join`."""
         self._server.start()
         self._node.start()
-        self._teller.start()
-        if self._asking is not None:
-            self._asking.start()
+        self._load_publisher.start()
+        if self._remote_placer is not None:
+            self._remote_placer.start()
 
     def stop(self) -> None:
-        """Says goodbye to the other instances and ends all links."""
-        if self._asking is not None:
-            self._asking.stop()
-        self._teller.stop()
+        """Announces the departure to other instances and closes all links."""
+        if self._remote_placer is not None:
+            self._remote_placer.stop()
+        self._load_publisher.stop()
         self._node.stop()
-        if self.lease.bound_s:
-            self._confirming.stop()
-            self._confirming.flush()
+        if self.lease.max_age_s:
+            self._confirmation_loop.stop()
+            self._confirmation_loop.flush()
         self.control.stop()
         self._server.stop()
         self._loop.stop()
--- a/cardamombarrow/entry/readiness.py
+++ b/cardamombarrow/entry/readiness.py
@@ -9,11 +9,11 @@
 
 
 class Readiness:
-    """Ready while it does not drain and every condition holds.
+    """Ready while the entry is not draining and every condition is met.
 
     Attributes:
-        draining: Set at a stop.
-        refusing: Set once the balancer has had time to notice the stop.
+        draining: Set when the entry is being stopped.
+        refusing: Set once the balancer has had time to notice the draining.
     """
 
     def __init__(self):
@@ -21,7 +21,7 @@
         self.refusing = False
         self._conditions: list[Condition] = []
 
-    def require(self, condition: Condition) -> None:
+    def add_condition(self, condition: Condition) -> None:
         """Adds a condition."""
         self._conditions.append(condition)
 
--- a/cardamombarrow/entry/life.py
+++ b/cardamombarrow/entry/request_handler.py
@@ -1,7 +1,7 @@
-"""The life of one request, written straight down.
+"""Handling of one request, from admission to settlement.
 
-claim (if unrepeatable) -> wait for a place -> send -> relay -> settle. The
-thread that serves the caller's connection runs all of it.
+claim (if unrepeatable) -> wait for a placement -> send -> relay -> settle. All
+of it runs on the thread that serves the caller's connection.
 """
 
 from collections import abc
@@ -12,11 +12,11 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.document import schema
 from cardamombarrow.endpoints import base as endpoints_base
+from cardamombarrow.entry import answer_stream
 from cardamombarrow.entry import broker as broker_module
-from cardamombarrow.entry import crashes as crashes_module
+from cardamombarrow.entry import crash_detector as crash_detector_module
 from cardamombarrow.entry import incoming
 from cardamombarrow.entry import metrics as metrics_module
-from cardamombarrow.entry import pieces
 from cardamombarrow.entry import progress as progress_module
 from cardamombarrow.entry import ticket as ticket_module
 from cardamombarrow.kernel import clock
@@ -25,39 +25,39 @@
 from cardamombarrow.ledger import client as ledger_client
 from cardamombarrow.metering import meter as meter_module
 
-__all__ = ["Life", "LifeServices", "Relay"]
+__all__ = ["RelayedAnswer", "RequestHandler", "RequestServices"]
 
-CALLER_LOOK_S = 0.25
-"""Time between two looks at whether a waiting caller is still there."""
+CALLER_POLL_S = 0.25
+"""Interval at which a waiting caller's connection is checked."""
 
 TAIL_BYTES = 512
-"""End of the answer that is kept to tell whether it is whole, and how many
-tokens it had."""
+"""Size of the answer's tail that is buffered to determine whether the answer is
+complete and how many tokens it had."""
 
-_FINAL = (errors.ErrorKind.CALLER_GONE, errors.ErrorKind.DEADLINE)
-"""What no second run can mend."""
+_NOT_RETRIED = (errors.ErrorKind.CALLER_GONE, errors.ErrorKind.DEADLINE)
+"""Errors after which a request is not retried."""
 
 
 @dataclasses.dataclass(frozen=True)
-class LifeServices:
-    """What every request's life needs.
+class RequestServices:
+    """Dependencies shared by all requests.
 
     Attributes:
-        kinds: How each kind of service's endpoints are spoken to.
+        kinds: The endpoint protocol of each kind of service.
     """
 
     broker: broker_module.Broker
     ledger: ledger_client.LedgerClient
     kinds: dict[schema.ServiceKind, endpoints_base.EndpointKind]
     time_source: clock.Clock
-    crashes: crashes_module.Crashes
+    crashes: crash_detector_module.CrashDetector
     metrics: metrics_module.Metrics
     meter: meter_module.Meter
 
 
 @dataclasses.dataclass
-class Relay:
-    """An answer on its way.
+class RelayedAnswer:
+    """An answer that is being relayed.
 
     Attributes:
         chunks: The body; it must be iterated to its end or closed.
@@ -69,7 +69,13 @@
 
 @dataclasses.dataclass
 class _Run:
-    """One run on an endpoint whose answer has begun."""
+    """One run on an endpoint whose answer has begun.
+
+    Attributes:
+        first: The first piece of the body; the whole body of a short answer.
+        rest: The pieces that follow.
+        settled: Whether the run's outcome has been recorded.
+    """
 
     ticket: ticket_module.Ticket
     exchange: endpoints_base.Exchange
@@ -80,14 +86,14 @@
     settled: bool = False
 
 
-class Life:
+class RequestHandler:
     """One request from admission to settlement."""
 
     def __init__(
         self,
         call: incoming.IncomingCall,
         caller: endpoints_base.CallerWatch,
-        services: LifeServices,
+        services: RequestServices,
     ):
         self._call = call
         self._caller = caller
@@ -100,37 +106,37 @@
         self._relaying = False
 
     def left_s(self) -> float:
-        """Returns the time that is left until the request's deadline."""
+        """Returns the time until the request's deadline, in seconds."""
         return self._call.job.deadline_s - self._services.time_source.now_s()
 
-    def run(self) -> Relay:
+    def run(self) -> RelayedAnswer:
         """Runs the request until its answer begins.
 
         Returns:
             The answer's head, and its body still to be relayed.
 
         Raises:
-            errors.RouterError: It was refused or failed; `not_run` tells
-                whether it may have run.
+            errors.RouterError: It was refused or failed; `not_run` is True if
+                it has certainly not run.
         """
         ticket = self._services.broker.submit(self._call.job)
         run = self._begin(ticket)
         self._relaying = True
-        return Relay(run.head, self._relay(run))
+        return RelayedAnswer(run.head, self._relay(run))
 
     def _begin(self, ticket: ticket_module.Ticket) -> _Run:
         """Runs a placed or waiting job until an answer begins."""
         while True:
-            self._services.metrics.wait(1)
+            self._services.metrics.add_waiting(1)
             try:
                 self._wait(ticket)
             finally:
-                self._services.metrics.wait(-1)
+                self._services.metrics.add_waiting(-1)
             try:
                 exchange = self._open(ticket)
             except BaseException:
-                # Kept, the slot would be lost to this instance for good; some
-                # such requests and the endpoint would look full while idle.
+                # Without this the slot would never be released, and after
+                # some failures the endpoint would look full while idle.
                 self._services.broker.finish(
                     ticket.job.request_id, messages.Outcome.NOT_STARTED
                 )
@@ -142,7 +148,7 @@
             except errors.RouterError as error:
                 exchange.close()
                 self._fail(ticket, error)
-                ticket = self._again(ticket, error)
+                ticket = self._retry(ticket, error)
             except BaseException:
                 exchange.close()
                 self._services.broker.finish(
@@ -150,36 +156,36 @@
                 )
                 raise
             else:
-                again = self._redo_failure(run)
-                if again is None:
+                new_ticket = self._retry_failure(run)
+                if new_ticket is None:
                     return run
-                ticket = again
+                ticket = new_ticket
 
-    def _redo_failure(self, run: _Run) -> ticket_module.Ticket | None:
-        """Queues a request again that its endpoint answered with a failure.
+    def _retry_failure(self, run: _Run) -> ticket_module.Ticket | None:
+        """Queues a request again after a failure answer of its endpoint.
 
         Returns:
-            None where that is not allowed; the failure then goes to the
-            caller as the endpoint gave it.
+            The ticket of the new attempt; None if no retry is allowed, and
+            the endpoint's failure answer is relayed to the caller unchanged.
         """
         ticket = run.ticket
         run.exchange.release()
         run.exchange.close()
-        error = pieces.failure_of(run.head)
+        error = answer_stream.failure_of(run.head)
         outcome = messages.Outcome.FAILURE_ANSWERED
         self._settle(ticket, error, outcome)
-        again = self._services.broker.resubmit(ticket, outcome)
-        if again is None:
+        new_ticket = self._services.broker.resubmit(ticket, outcome)
+        if new_ticket is None:
             run.settled = True
-        return again
+        return new_ticket
 
     def _first_piece(
         self, ticket: ticket_module.Ticket, exchange: endpoints_base.Exchange
     ) -> _Run:
         """Waits for the first piece of the body.
 
-        Until then nothing has gone to the caller, and a request whose
-        endpoint fails can still be redone.
+        Until then nothing has been sent to the caller, and a request whose
+        endpoint fails can still be retried.
         """
         head = exchange.head()
         self._take_load(ticket, head)
@@ -194,11 +200,11 @@
             self._progress.began()
         self._kind.check(head, self._outgoing(ticket))
         if self._kind.failed(head) and not self._kind.relays_failures:
-            raise pieces.failure_of(head)
+            raise answer_stream.failure_of(head)
         if self._relaying and not (head.status == 200 and head.streams):
-            # The head of the answer is out: what is no stream would be read
-            # as the stream's next events.
-            raise pieces.failure_of(head)
+            # The head of the stream has been sent: any other answer would be
+            # read as the stream's next events.
+            raise answer_stream.failure_of(head)
         resumable = (
             self._kind.resumable(head)
             and ticket.job.repeatable
@@ -207,8 +213,8 @@
         ticket.job.resumable = resumable
         chunks = exchange.chunks()
         if resumable:
-            chunks = pieces.whole_events(chunks)
-        if pieces.is_short(head) or self._kind.failed(head):
+            chunks = answer_stream.complete_events(chunks)
+        if answer_stream.is_buffered(head) or self._kind.failed(head):
             first = b"".join(chunks)
         else:
             first = next(chunks, b"")
@@ -246,7 +252,7 @@
     def _wait(self, ticket: ticket_module.Ticket) -> messages.Placement:
         while True:
             try:
-                return ticket.placed.result(timeout=CALLER_LOOK_S)
+                return ticket.placed.result(timeout=CALLER_POLL_S)
             except futures.TimeoutError:
                 if self._caller.gone():
                     self._services.broker.withdraw(ticket)
@@ -257,9 +263,9 @@
                     ) from None
 
     def _open(self, ticket: ticket_module.Ticket) -> endpoints_base.Exchange:
-        self._progress.sent()
+        self._progress.record_sent()
         if ticket.placed.result().limit_per_s is not None:
-            self._services.metrics.sent_under_limit()
+            self._services.metrics.count_sent_under_limit()
         return self._kind.open(self._outgoing(ticket))
 
     def _outgoing(
@@ -290,16 +296,16 @@
             fetch_from=placement.fetch and placement.fetch.source,
         )
 
-    def _again(
+    def _retry(
         self, ticket: ticket_module.Ticket, error: errors.RouterError
     ) -> ticket_module.Ticket:
-        outcome = pieces.OUTCOMES[error.kind]
-        if error.kind in _FINAL:
+        outcome = answer_stream.OUTCOMES[error.kind]
+        if error.kind in _NOT_RETRIED:
             raise error
-        again = self._services.broker.resubmit(ticket, outcome)
-        if again is None:
+        new_ticket = self._services.broker.resubmit(ticket, outcome)
+        if new_ticket is None:
             raise error
-        return again
+        return new_ticket
 
     def _relay(self, run: _Run) -> abc.Iterator[bytes]:
         try:
@@ -310,28 +316,28 @@
                 except errors.RouterError as error:
                     run = self._resume(run, error)
         except errors.RouterError as error:
-            # Only now is it known that no resumed run makes use of them.
-            self._services.metrics.wasted(
-                pieces.OUTCOMES[error.kind], self._progress.tokens
+            # Until here a resumed run could still have used these tokens.
+            self._services.metrics.count_wasted(
+                answer_stream.OUTCOMES[error.kind], self._progress.tokens
             )
             raise
         except GeneratorExit:
             outcome = messages.Outcome.CALLER_GONE
-            self._services.metrics.wasted(outcome, self._progress.tokens)
+            self._services.metrics.count_wasted(outcome, self._progress.tokens)
             raise
 
     def _resume(self, run: _Run, error: errors.RouterError) -> _Run:
-        """Goes on with an answer that broke off, or raises `error`."""
+        """Resumes an answer that was cut off, or raises `error`."""
         if not run.resumable or not self._progress.tokens:
             raise error
-        again = self._begin(self._again(run.ticket, error))
+        resumed = self._begin(self._retry(run.ticket, error))
         logs.decision(
             "resume",
             request_id=self._call.job.request_id,
             tokens=self._progress.tokens,
             reason=error.detail,
         )
-        return again
+        return resumed
 
     def _relay_run(self, run: _Run) -> abc.Iterator[bytes]:
         if run.settled:
@@ -350,7 +356,7 @@
                 if progress.first_token_s is None:
                     progress.first_piece(run.ticket.job)
                     broker.first_token(request_id)
-                progress.piece()
+                progress.add_piece()
                 tail = (tail + chunk)[-TAIL_BYTES:]
                 progress.tokens += self._kind.count_tokens(chunk)
                 if run.resumable:
@@ -387,13 +393,13 @@
         outcome: messages.Outcome | None = None,
     ) -> None:
         if outcome is None:
-            outcome = pieces.outcome_of(error)
+            outcome = answer_stream.outcome_of(error)
         job = ticket.job
         self._services.broker.finish(job.request_id, outcome)
         progress = self._progress
         first_s, age_s = progress.first_token_s, progress.age_s
         if error is None:
-            self._services.metrics.done(
+            self._services.metrics.count_answer(
                 job, first_s or age_s, age_s, progress.tokens
             )
         logs.decision(
--- a/cardamombarrow/entry/side.py
+++ b/cardamombarrow/entry/side.py
@@ -1,4 +1,4 @@
-"""What an entry tells the platform on addresses of its own."""
+"""Readiness and metrics for the platform, served on separate addresses."""
 
 from collections import abc
 import dataclasses
@@ -7,10 +7,10 @@
 
 from werkzeug import wrappers
 
+from cardamombarrow.entry import call_runner as call_runner_module
 from cardamombarrow.entry import in_force
 from cardamombarrow.entry import lease as lease_module
 from cardamombarrow.entry import readiness as readiness_module
-from cardamombarrow.entry import relaying as relaying_module
 from cardamombarrow.kernel import ids
 
 __all__ = ["SideApp"]
@@ -22,14 +22,14 @@
     def __init__(
         self,
         instance: ids.InstanceId,
-        documents: in_force.InForce,
-        relaying: relaying_module.Relaying,
+        documents: in_force.DocumentInForce,
+        runner: call_runner_module.CallRunner,
         readiness: readiness_module.Readiness,
         lease: lease_module.DocumentLease,
     ):
         self._instance = instance
         self._documents = documents
-        self._relaying = relaying
+        self._runner = runner
         self._readiness = readiness
         self._lease = lease
 
@@ -43,7 +43,7 @@
     def _answer(self, path: str) -> wrappers.Response:
         if path == "/metrics":
             return wrappers.Response(
-                self._relaying.metrics_text(),
+                self._runner.metrics_text(),
                 content_type="text/plain; version=0.0.4",
             )
         if path == "/v1/instance":
@@ -54,17 +54,17 @@
         return wrappers.Response("ready\n")
 
     def _instance_answer(self) -> wrappers.Response:
-        believes = {
+        content = {
             "instance": self._instance,
             "revision": self._documents.revision,
             "document_age_s": round(self._lease.age_s, 3),
             "not_ready": self._readiness.reason(),
-            "held": self._relaying.held,
+            "held": self._runner.held,
             "endpoints": [
                 dataclasses.asdict(view)
-                for view in self._relaying.services.broker.views()
+                for view in self._runner.services.broker.views()
             ],
         }
         return wrappers.Response(
-            json.dumps(believes) + "\n", content_type="application/json"
+            json.dumps(content) + "\n", content_type="application/json"
         )
--- a/cardamombarrow/peers/placing_client.py
+++ b/cardamombarrow/peers/placing_client.py
@@ -1,8 +1,8 @@
 """Client side of placement by the placer of a failure domain.
 
-One task maintains a stream to the instance that `placing.order` selects. A
-question that times out, or whose stream is lost, is decided by the entry's own
-dispatcher at once; no request waits for a placer to recover.
+One task keeps a stream to the placer that `placing.ranking` selects. A question
+that gets no answer in time, or whose stream is lost, goes back to the entry's
+own dispatcher at once; nothing waits for a placer to come back.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 import time
 
 from cardamombarrow.decisions import messages
-from cardamombarrow.entry import asking
+from cardamombarrow.entry import remote_placer
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import logs
 from cardamombarrow.peers import loop as loop_module
@@ -19,7 +19,7 @@
 from cardamombarrow.peers import placing_link
 from cardamombarrow.peers import placing_pb2
 from cardamombarrow.placing import messages as placing_messages
-from cardamombarrow.placing import order as order_module
+from cardamombarrow.placing import ranking as ranking_module
 
 __all__ = ["ANSWER_TIMEOUT_S", "ClientHooks", "PlacingClient"]
 
@@ -34,7 +34,7 @@
 CHECK_INTERVAL_S = 0.2
 """Time between two checks of which placer to use and whether it is silent."""
 
-_Outcome = placing_messages.AskedOutcome
+_Outcome = placing_messages.QuestionOutcome
 
 
 @dataclasses.dataclass(frozen=True)
@@ -56,11 +56,11 @@
     runs: abc.Callable[[], list[placing_messages.Run]]
     on_answer: abc.Callable[[placing_messages.Answer, str, float], bool]
     fall_back: abc.Callable[[ids.RequestId, str], None]
-    count: abc.Callable[[placing_messages.AskedOutcome], None]
+    count: abc.Callable[[placing_messages.QuestionOutcome], None]
 
 
-class PlacingClient(asking.Asking, loop_module.LoopPart):
-    """Sends questions to the placer; methods of `Asking` are thread-safe."""
+class PlacingClient(remote_placer.RemotePlacer, loop_module.LoopPart):
+    """Asks the placer; methods of `RemotePlacer` are thread-safe."""
 
     def __init__(
         self,
@@ -73,13 +73,13 @@
         self._instance = instance
         self._secret = secret
         self._hooks = hooks
-        self._order = order_module.PlacerOrder()
+        self._order = ranking_module.PlacerRanking()
         self._link: placing_link.PlacingLink | None = None
         self._connecting: asyncio.Task[None] | None = None
 
     # -- methods for the entry, on any thread ---------------------------------
 
-    def takes(self) -> bool:
+    def is_connected(self) -> bool:
         """Returns whether a placer is connected."""
         return self._link is not None
 
@@ -92,12 +92,12 @@
         """Withdraws a question."""
         self._loop.call_soon(lambda: self._withdraw(request_id))
 
-    def ran(self, run: placing_messages.Run) -> None:
+    def run_started(self, run: placing_messages.Run) -> None:
         """Reports a request that this entry has placed by itself."""
         if self._link is not None:
             self._loop.call_soon(lambda: self._ran(run))
 
-    def began(self, request_id: ids.RequestId) -> None:
+    def first_token_received(self, request_id: ids.RequestId) -> None:
         """Reports the first event of a request's answer."""
         if self._link is not None:
             self._loop.call_soon(lambda: self._began(request_id))
@@ -111,7 +111,7 @@
                 lambda: self._ended(request_id, outcome, tokens)
             )
 
-    def loaded(
+    def load_reported(
         self, endpoint: ids.EndpointId, report: messages.LoadReport
     ) -> None:
         """Reports the endpoint load that an answer contained."""
@@ -205,7 +205,7 @@
     ) -> None:
         for answer in placing_codec.answers_from_wire(reply):
             link.timeouts_in_a_row = 0
-            if isinstance(answer, placing_messages.Waits):
+            if isinstance(answer, placing_messages.Queued):
                 self._on_waiting(link, answer.request_id)
             elif isinstance(answer.decision, messages.Preemption):
                 self._hooks.on_answer(answer, link.instance, 0.0)
--- a/cardamombarrow/peers/rate_limit_gossip.py
+++ b/cardamombarrow/peers/rate_limit_gossip.py
@@ -21,7 +21,7 @@
 
     def collect(self) -> dict[rows.Key, rows.Value]:
         """Returns the items of this instance's row."""
-        current = self._broker.rate_limits_to_tell()
+        current = self._broker.rate_limits_to_announce()
         for endpoint, limit in current.items():
             published = self._published.get(endpoint)
             if published is None or _is_due(published, limit):
@@ -35,7 +35,7 @@
 
     def is_urgent(self) -> bool:
         """Returns whether a changed limit is not published yet."""
-        current = self._broker.rate_limits_to_tell()
+        current = self._broker.rate_limits_to_announce()
         return any(
             endpoint not in self._published
             or self._published[endpoint].per_s != limit.per_s
--- a/cardamombarrow/peers/tests/test_placing.py
+++ b/cardamombarrow/peers/tests/test_placing.py
@@ -20,7 +20,7 @@
 from cardamombarrow.peers import placing_pb2
 from cardamombarrow.peers import placing_service
 from cardamombarrow.peers import server as server_module
-from cardamombarrow.placing import order as order_module
+from cardamombarrow.placing import ranking as ranking_module
 from tools import deployment
 from tools import proxy
 
@@ -93,7 +93,7 @@
         self.broker.start()
         self.loop.start()
         self.listen()
-        self.broker.set_asking(self.client)
+        self.broker.set_remote_placer(self.client)
         self.client.start()
 
     def listen(self) -> None:
@@ -145,7 +145,7 @@
     """Two entries that know each other; the first one is the placer."""
     document = parsing.parse(kandula_text)
     made = [_Entry(f"entry-{number}", document) for number in (1, 2)]
-    order = order_module.PlacerOrder()
+    order = ranking_module.PlacerRanking()
     order.set_members([each.name for each in made])
     made.sort(key=lambda each: each.name != order.first(0.0))
     members = {each.name: each.address for each in made}
@@ -297,7 +297,7 @@
     answers = []
     placer = placer_module.Placer(broker.for_domain, lambda call: call())
     before = placer.join(ids.InstanceId("entry-2"), 1, answers.append)
-    placer.question(before, _job(1))
+    placer.handle_question(before, _job(1))
     after = placer.join(ids.InstanceId("entry-2"), 2, answers.append)
     assert after is not None
     assert placer.join(ids.InstanceId("entry-2"), 1, answers.append) is None
@@ -319,7 +319,7 @@
     placer = placer_module.Placer(broker.for_domain, lambda call: call())
     owner = placer.join(ids.InstanceId("entry-2"), 1, answers.append)
     for number in range(5):
-        placer.question(owner, _job(number))
+        placer.handle_question(owner, _job(number))
     refused = [
         answer.decision.kind
         for answer in answers
--- a/cardamombarrow/platform/caller.py
+++ b/cardamombarrow/platform/caller.py
@@ -78,7 +78,7 @@
 class PlatformProtocol(protocol.CallerProtocol):
     """Headers of requests and answers."""
 
-    def read(self, headers: protocol.Headers) -> protocol.CallFacts:
+    def read(self, headers: protocol.Headers) -> protocol.ParsedHeaders:
         """Reads a request's headers; see `protocol.CallerProtocol`."""
         found = _single(headers)
         caller_id = found.get("attempt-id", "")
@@ -88,7 +88,7 @@
         counts = found.get("token-count", "0,0").split(",")
         if len(counts) != 2 or not all(map(_WHOLE.fullmatch, counts)):
             raise _refused("Token-Count is malformed")
-        return protocol.CallFacts(
+        return protocol.ParsedHeaders(
             caller_id=caller_id,
             key=_key(found.get("authorization", "")),
             limit_s=None if limit_ms is None else limit_ms / 1_000,
@@ -124,7 +124,7 @@
         found = [("Content-Type", "application/json")]
         if error.retry_after_s is not None:
             found.append(("Retry-After", f"{error.retry_after_s:.3f}"))
-        body = answers.failure(error, request_id)
+        body = answers.error_body(error, request_id)
         return protocol.ErrorAnswer(status, tuple(found), body)
 
 
