--- a/cardamombarrow/decisions/cache_directory.py
+++ b/cardamombarrow/decisions/cache_directory.py
@@ -122,10 +122,12 @@
         remaining: abc.Iterable[ids.EndpointId] | None = None
         for part in job.parts:
             key = part_key(part.part)
-            known = (
+            candidates = (
                 self._holders.get(key, {}) if remaining is None else remaining
             )
-            remaining = [each for each in known if self.holds(key, each, now_s)]
+            remaining = [
+                each for each in candidates if self.holds(key, each, now_s)
+            ]
             if not remaining:
                 break
             for endpoint in remaining:
@@ -136,10 +138,10 @@
 
     def take_announcements(self, now_s: float) -> list[messages.KeptNews]:
         """Returns and clears the pending announcements, by engine."""
-        news, self._pending = self._pending, {}
+        announcements, self._pending = self._pending, {}
         by_endpoint: dict[ids.EndpointId, list[int]] = {}
         oldest_s = now_s
-        for pair, recorded_s in news.items():
+        for pair, recorded_s in announcements.items():
             key, endpoint = pair
             by_endpoint.setdefault(endpoint, []).append(key)
             self._announced_at_s[pair] = now_s
@@ -155,10 +157,10 @@
         ]
 
     def merge_announcements(
-        self, news: abc.Iterable[messages.KeptNews], now_s: float
+        self, announcements: abc.Iterable[messages.KeptNews], now_s: float
     ) -> None:
         """Merges announcements from other instances."""
-        for each in news:
+        for each in announcements:
             for key in each.parts:
                 last_used_s = self.last_used_s(key, each.endpoint)
                 seen_s = now_s - each.age_s
--- a/cardamombarrow/decisions/engine_latency.py
+++ b/cardamombarrow/decisions/engine_latency.py
@@ -55,10 +55,12 @@
         elapsed_s = max(now_s - self.congestion_updated_at_s, 0.0)
         return self.congestion_s * 0.5 ** (elapsed_s / CONGESTION_HALF_LIFE_S)
 
-    def learn_delay(self, late_s: float, now_s: float) -> None:
+    def learn_delay(self, delay_s: float, now_s: float) -> None:
         """Updates the congestion with the delay of one first token."""
         current_s = self.congestion_at(now_s)
-        self.congestion_s = current_s + CONGESTION_WEIGHT * (late_s - current_s)
+        self.congestion_s = current_s + CONGESTION_WEIGHT * (
+            delay_s - current_s
+        )
         self.congestion_updated_at_s = now_s
 
     def base_at(self, now_s: float) -> float:
--- a/cardamombarrow/decisions/estimate.py
+++ b/cardamombarrow/decisions/estimate.py
@@ -9,7 +9,7 @@
 answers the older one is dropped. So an estimate rests on one to two windows of
 answers, whatever the request rate. A workspace is stored as one number, its
 mean length relative to its class, with a prior of 1: histograms for 3,800
-workspaces would take more memory than an instance has for all of its control.
+workspaces would take more memory than an instance has for its whole control.
 
 256 answers give the mean within 4 to 6 % for answers whose standard deviation
 is 0.7 to 1 of the mean (sigma / sqrt(n)). `PRIOR_ANSWERS` is the count at which
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -235,10 +235,10 @@
             return False
         if not job.prompt_tokens:
             return True
-        unread = state.unread
+        queued = state.unread
         if not self._is_long(job):
-            return unread < self._queue_limits.max_queued_for_short
-        if unread >= self._queue_limits.max_queued_for_long:
+            return queued < self._queue_limits.max_queued_for_short
+        if queued >= self._queue_limits.max_queued_for_long:
             return False
         return self._is_affinity_wait_over(job, state, now_s)
 
@@ -272,9 +272,11 @@
             job, state, now_s, has_affinity
         )
         self._fetch = self._find_fetch(job, state, now_s)
-        unread = self._caches.uncached_tokens(job, state.endpoint, has_affinity)
+        uncached = self._caches.uncached_tokens(
+            job, state.endpoint, has_affinity
+        )
         fetched = self._fetch.tokens if self._fetch else 0
-        job.unread_tokens = max(unread - fetched, 0.0)
+        job.unread_tokens = max(uncached - fetched, 0.0)
         self._caches.record_sent(job, state.endpoint, now_s)
 
     def placed_elsewhere(
@@ -291,7 +293,7 @@
         base_s = self._latency(state).base_at(now_s)
         self._expected_s[job.request_id] = (
             base_s
-            + self._backlog_s(job, state, token_s, now_s)
+            + self._queue_s(job, state, token_s, now_s)
             + job.unread_tokens * token_s
         )
         self._caches.record_sent(job, state.endpoint, now_s)
@@ -342,12 +344,12 @@
 
         Failures of the endpoint multiply the cost; see `failures`.
         """
-        failing = self._failures.slowdown(state.endpoint, now_s)
+        slowdown = self._failures.slowdown(state.endpoint, now_s)
         first_token_s = self._first_token_s(job, state, now_s, is_prefix_cached)
         penalty_s = self._partition_penalty_s(
             job, state
         ) + self._preemption_penalty_s(state)
-        return failing * (first_token_s + penalty_s)
+        return slowdown * (first_token_s + penalty_s)
 
     def _preemption_penalty_s(
         self, state: endpoint_module.EndpointState
@@ -358,8 +360,8 @@
         started a long prompt although another engine has a free slot, and the
         prompt would be prefilled twice.
         """
-        known = self.context.whole_domain and state.configured_slots
-        if known and state.total_running >= state.configured_slots:
+        is_load_known = self.context.whole_domain and state.configured_slots
+        if is_load_known and state.total_running >= state.configured_slots:
             return PREEMPTION_PENALTY_S
         return 0.0
 
@@ -372,21 +374,21 @@
     ) -> float:
         latency = self._latency(state)
         token_s = self._prefill_time.token_s(state.service)
-        unread = self._caches.uncached_tokens(
+        uncached = self._caches.uncached_tokens(
             job, state.endpoint, is_prefix_cached
         )
         waiting = max(state.in_flight - state.configured_slots + 1, 0)
         base_s = latency.base_at(now_s)
         return (
             base_s
-            + self._backlog_s(job, state, token_s, now_s)
+            + self._queue_s(job, state, token_s, now_s)
             + latency.congestion_at(now_s)
-            + unread * token_s
+            + uncached * token_s
             + PER_REQUEST_S * state.in_flight
             + waiting * base_s / max(state.configured_slots, 1)
         )
 
-    def _backlog_s(
+    def _queue_s(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
@@ -428,7 +430,7 @@
             )
             self._latencies[state.endpoint] = latency
             if len(self._latencies) > MAX_ENGINES:
-                # A restarted endpoint gets a new id.
+                # Restarted endpoints get new ids and would accumulate.
                 del self._latencies[next(iter(self._latencies))]
         return latency
 
@@ -450,12 +452,12 @@
             return
         expected_s = self._expected_s.get(running.job.request_id, took_s)
         latency.learn_delay(max(took_s - expected_s, 0.0), now_s)
-        unread = running.job.unread_tokens
-        if unread >= prefill_time.MIN_PROMPT_TOKENS:
+        uncached = running.job.unread_tokens
+        if uncached >= prefill_time.MIN_PROMPT_TOKENS:
             prefill_s = took_s - latency.base_s
-            self._prefill_time.learn(state.service, prefill_s / unread)
+            self._prefill_time.learn(state.service, prefill_s / uncached)
             return
-        prefill_s = unread * self._prefill_time.token_s(state.service)
+        prefill_s = uncached * self._prefill_time.token_s(state.service)
         base_s = max(took_s - prefill_s, 0.001)
         if base_s < latency.base_s:
             latency.learn_base(base_s, now_s)
