--- a/cardamombarrow/kernel/__init__.py
+++ b/cardamombarrow/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""What every subpackage stands on: errors, ids, settings, registry, logs."""
+"""Base modules used by all subpackages: errors, ids, settings, logs."""
--- a/cardamombarrow/kernel/chunked.py
+++ b/cardamombarrow/kernel/chunked.py
@@ -1,7 +1,7 @@
-"""Reads a body that comes in chunks, and refuses what is doubtful.
+"""Reads a chunked body and rejects malformed chunks.
 
-A reader that takes a short or malformed chunk as it is would pass on another
-body than the one that was sent (RFC 9112, section 7.1).
+A reader that accepted a short or malformed chunk would forward a body that
+differs from the one sent (RFC 9112, section 7.1).
 """
 
 import io
@@ -17,9 +17,9 @@
 
 
 class ChunkedInput(io.RawIOBase):
-    """The bytes of the chunks; the end of file comes after the last chunk.
+    """The content of the chunks as a stream.
 
-    Reading raises OSError where the body is malformed or ends early.
+    Reading raises OSError if the body is malformed or ends early.
     """
 
     def __init__(self, stream: typing.BinaryIO):
@@ -43,7 +43,7 @@
             raise OSError("a chunk ended early")
         self._left_bytes -= size
         if not self._left_bytes and self._stream.read(2) != b"\r\n":
-            raise OSError("a chunk does not end where it should")
+            raise OSError("a chunk does not end at its announced size")
         return size
 
     def _next_chunk(self) -> None:
--- a/cardamombarrow/kernel/clock.py
+++ b/cardamombarrow/kernel/clock.py
@@ -1,4 +1,4 @@
-"""Time, as an interface, so that tests can hold it still."""
+"""Clocks behind an interface, so that tests can control the time."""
 
 import abc
 import time
@@ -11,7 +11,7 @@
 
     @abc.abstractmethod
     def now_s(self) -> float:
-        """Returns seconds since an arbitrary start; never goes back."""
+        """Returns seconds since an arbitrary start; never decreases."""
 
 
 class SystemClock(Clock):
@@ -25,8 +25,8 @@
 class BootClock(Clock):
     """A clock that also counts the time in which the machine was suspended.
 
-    A bound on how old knowledge may be has to count that time: a machine that
-    wakes up knows nothing of what was accepted while it slept.
+    A limit on the age of a document has to count that time: a machine that
+    resumes has missed every change accepted while it was suspended.
     """
 
     def now_s(self) -> float:
@@ -35,15 +35,15 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to."""
+    """A clock that tests set by hand."""
 
     def __init__(self, start_s: float = 0.0):
         self._now_s = start_s
 
     def now_s(self) -> float:
-        """Returns the time it was last moved to."""
+        """Returns the time that was set last."""
         return self._now_s
 
     def advance(self, by_s: float) -> None:
-        """Moves the clock on by `by_s` seconds."""
+        """Advances the clock by `by_s` seconds."""
         self._now_s += by_s
--- a/cardamombarrow/kernel/connection.py
+++ b/cardamombarrow/kernel/connection.py
@@ -1,12 +1,12 @@
 """One caller's HTTP connection: reads a request, writes its answer.
 
-werkzeug parses the request and builds the WSGI environment. Its way of
-writing is replaced, for three reasons. It waits 10 ms for more input after
-each answer while the end of the answer is still in its buffer, so that the
-caller sees the end late and the answer's iterator, which holds an endpoint's
-slot, is closed late. It sends pages of HTML for errors of its own. And it
-bounds each read but not a whole request, so a client that sends a byte now
-and then holds a thread for ever.
+werkzeug parses the request and builds the WSGI environment. Its reading and
+writing are replaced for three reasons. It waits 10 ms for more input after each
+answer while the end of the answer is still in its buffer: the caller sees the
+end late, and the answer's iterator, which holds an endpoint's slot, is closed
+late. It sends HTML pages for its own errors. It limits the time of each read
+but not of a whole request, so a client that sends single bytes can occupy a
+thread indefinitely.
 """
 
 from collections import abc
@@ -35,24 +35,24 @@
 ]
 
 ARRIVED_KEY = "cardamombarrow.arrived_s"
-"""Where the environment has the moment when the head had been read, on the
-monotonic clock: what waits before the application sees it counts, too."""
+"""Environment key of the time at which the head had been read, on the monotonic
+clock, so that waiting before the application runs is counted as well."""
 
 HEADERS_KEY = "cardamombarrow.headers"
-"""Where the environment has the header fields as they came: a tuple of pairs.
-WSGI's own form loses their order and joins those that stand twice."""
+"""Environment key of the header fields as received: a tuple of pairs. WSGI's
+form loses their order and joins repeated fields."""
 
 HEAD_BYTES_KEY = "cardamombarrow.head_bytes"
-"""Where the environment has the size of the head."""
+"""Environment key of the size of the head."""
 
 HEAD_LIMIT_BYTES = 131_072
-"""Longest head that is read at all; the application may allow less."""
+"""Size of the largest head that is read; the application may allow less."""
 
 LINGER_S = 1.0
-"""Longest time in which the rest of a refused request is read."""
+"""Longest time for which the rest of a rejected request is read."""
 
 LINGER_BYTES = 16_000_000
-"""Most that is read of the rest of a refused request."""
+"""Most bytes that are read of the rest of a rejected request."""
 
 CHUNK_BYTES = 65_536
 
@@ -62,7 +62,7 @@
 def error_body(
     kind: errors.ErrorKind, detail: str, retry_after_s: float | None = None
 ) -> bytes:
-    """Returns the JSON body for an error of the HTTP layer itself."""
+    """Returns the JSON body for an error of the HTTP layer."""
     answer = errors.ANSWERS[kind]
     return json.dumps(
         {
@@ -79,7 +79,7 @@
 
 
 class _BoundedReader(io.RawIOBase):
-    """Reads a socket, each wait and the whole request within bounds."""
+    """Reads a socket with a time limit per read and one for the request."""
 
     def __init__(
         self, connection: socket.socket, idle_s: float, total_s: float
@@ -94,13 +94,13 @@
     def readinto(self, buffer: typing.Any) -> int:
         left_s = self._deadline_s - time.monotonic()
         if left_s <= 0:
-            raise TimeoutError("the request did not come whole in time")
+            raise TimeoutError("the request was not received in full in time")
         self._connection.settimeout(min(self._idle_s, left_s))
         return self._connection.recv_into(buffer)
 
 
 class _CountedInput(io.RawIOBase):
-    """The request's body; knows whether some of it is still to be read."""
+    """The request's body; counts the bytes that have not been read yet."""
 
     def __init__(self, stream: typing.Any, left_bytes: float):
         self._stream = stream
@@ -116,13 +116,13 @@
 
 
 class _AnswerWriter:
-    """Writes head and body; what is ready together leaves together."""
+    """Writes head and body; sends the head with the first chunk."""
 
     def __init__(self, handler: "Handler"):
         self._handler = handler
         self._head: tuple[str, list[tuple[str, str]]] | None = None
         self._chunked = False
-        self.begun = False
+        self.started = False
 
     def start(
         self,
@@ -136,16 +136,16 @@
         return self.write
 
     def write(self, data: bytes) -> None:
-        """Sends one chunk, the first one with the head before it."""
-        head = b"" if self.begun else self._begin()
+        """Sends one chunk, preceded by the head if it is the first."""
+        head = b"" if self.started else self._begin()
         if self._chunked and data:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         if head or data:
             self._handler.send(head + data)
 
     def finish(self) -> None:
-        """Sends what tells the caller that the answer is whole."""
-        if not self.begun:
+        """Sends the end of the answer."""
+        if not self.started:
             self.write(b"")
         if self._chunked:
             self._handler.send(b"0\r\n\r\n")
@@ -154,7 +154,7 @@
         assert self._head is not None, "no status was set"
         status_text, headers = self._head
         code, _, reason = status_text.partition(" ")
-        self.begun = True
+        self.started = True
         names = {name.lower() for name, _ in headers}
         self._chunked = (
             "content-length" not in names
@@ -166,8 +166,8 @@
         lines += [f"{name}: {value}" for name, value in headers]
         if self._chunked:
             lines.append("Transfer-Encoding: chunked")
-        # One request a connection: an answer can't be read by the wrong
-        # caller, and a client that pipelines gets no second one.
+        # One request per connection: an answer can't reach the wrong caller,
+        # and a pipelined second request is not served.
         lines += ["Connection: close", "", ""]
         return "\r\n".join(lines).encode("latin-1")
 
@@ -179,7 +179,7 @@
     _non_blocking = False
 
     def setup(self) -> None:
-        """Prepares bounded reading and unbuffered writing."""
+        """Sets up reading with time limits and unbuffered writing."""
         self.connection = self.request
         limits = self.server.limits
         reader = _BoundedReader(
@@ -189,13 +189,13 @@
         self.wfile = _SocketFile(self.connection)
 
     def send(self, data: bytes) -> None:
-        """Writes to the caller, within the limit set for it.
+        """Writes to the caller, within the write timeout.
 
-        A caller that stops reading fills the socket's buffer; without a bound
-        the write, and with it an endpoint's slot, would wait for ever.
+        A caller that stops reading fills the socket's buffer; without a limit
+        the write would block indefinitely and hold an endpoint's slot.
 
         Raises:
-            OSError: The caller is gone, or has stopped reading.
+            OSError: The caller disconnected or has stopped reading.
         """
         if self._non_blocking:
             try:
@@ -210,14 +210,14 @@
         self._set_non_blocking()
 
     def _set_non_blocking(self) -> None:
-        # A socket with a timeout waits in one system call before it writes in
-        # another; nearly always the buffer has room already. TLS needs both.
+        # A socket with a timeout polls in a system call of its own before each
+        # write, though the buffer nearly always has room. TLS needs the poll.
         if not isinstance(self.connection, ssl.SSLSocket):
             self.connection.setblocking(False)
             self._non_blocking = True
 
     def parse_request(self) -> bool:
-        """Reads the head strictly; answers and returns False otherwise."""
+        """Parses the head; answers a malformed one and returns False."""
         self.command = self.path = ""
         self.request_version = "HTTP/1.1"
         self.close_connection = True
@@ -229,7 +229,7 @@
             )
             return False
         if not raw.endswith(b"\r\n\r\n") and not raw.endswith(b"\n\n"):
-            # The client left, or was silent for too long.
+            # The client disconnected or was silent for too long.
             return False
         try:
             head = heads.parse(raw)
@@ -266,16 +266,16 @@
         self._linger()
 
     def log_request(self, *args: typing.Any, **kwargs: typing.Any) -> None:
-        """Writes nothing: the application logs its own lines."""
+        """Does nothing: the application logs its requests."""
 
     def log(self, type: str, message: str, *args: typing.Any) -> None:
-        """Writes what went wrong on a connection as a log line."""
+        """Logs what went wrong on a connection."""
         logs.event("http", "DEBUG", detail=message % args)
 
     def send_error(
         self, code: int, message: str | None = None, explain: str | None = None
     ) -> None:
-        """Answers a request that cannot be parsed, as JSON like all errors."""
+        """Answers a request that can't be parsed, with JSON like all errors."""
         detail = message or http.HTTPStatus(code).phrase
         body = error_body(errors.ErrorKind.BAD_REQUEST, detail)
         self.command = self.command or "GET"
@@ -313,14 +313,14 @@
         try:
             self._relay(self.server.app(environ, writer.start), writer)
         except OSError as error:
-            self.log("info", "the caller is gone: %s", error)
+            self.log("info", "the caller disconnected: %s", error)
         except errors.RouterError as error:
-            # No last chunk, or fewer bytes than announced: the caller sees
-            # that the answer is not whole.
-            self.log("info", "the answer broke off: %s", error)
+            # The last chunk or some of the announced bytes are missing, so the
+            # caller sees that the answer is incomplete.
+            self.log("info", "the answer was cut off: %s", error)
         except Exception as error:
             logs.event("http", "ERROR", detail=repr(error))
-            if not writer.begun:
+            if not writer.started:
                 self._answer_error(
                     "500 Internal Server Error",
                     error_body(
@@ -345,7 +345,7 @@
 
     def _linger(self) -> None:
         # Closing a socket with unread input resets the connection, and the
-        # reset can overtake the answer: the caller would see no error at all.
+        # reset can overtake the answer: the caller would not see the error.
         deadline_s = time.monotonic() + LINGER_S
         left_bytes = LINGER_BYTES
         try:
@@ -364,7 +364,7 @@
 
 
 class _SocketFile(io.RawIOBase):
-    """Where the base class writes; nothing is held back."""
+    """The unbuffered file that the base class writes to."""
 
     def __init__(self, connection: socket.socket):
         self._connection = connection
--- a/cardamombarrow/kernel/errors.py
+++ b/cardamombarrow/kernel/errors.py
@@ -1,9 +1,9 @@
 """The closed list of error kinds, the answer to each, and the exceptions.
 
 Every failure that a caller or an operator can see is one `ErrorKind`. The
-table `ANSWERS` says what is answered for it: the HTTP status, whether the
-request is known not to have run, and whether trying again can help. A kind
-outside the table cannot be answered, so a new failure needs a row here first.
+table `ANSWERS` gives the response to each: the HTTP status, whether the request
+is known not to have run, and whether a retry may succeed. A kind that is not in
+the table can't be answered, so each new kind needs a row there.
 """
 
 import dataclasses
@@ -64,12 +64,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """What is answered for one kind of failure.
+    """The answer to one kind of failure.
 
     Attributes:
         status: HTTP status code.
-        not_run: True only where the request certainly did not run. Callers
-            rely on it to send unrepeatable work again.
+        not_run: True only if the request certainly did not run. Callers
+            rely on it to resend requests that must not run twice.
         retryable: Whether the same request may succeed later.
     """
 
@@ -133,11 +133,11 @@
 
     Attributes:
         kind: Which row of `ANSWERS` applies.
-        detail: What went wrong, for the reader of the answer or the log.
-        retry_after_s: When the caller should come back, or None.
-        not_run: Overrides the table's `not_run` where the place that raised
-            knows better.
-        class_id: The class of the request that failed, where it is known.
+        detail: What went wrong, for the answer and the log.
+        retry_after_s: Time after which the caller should retry, or None.
+        not_run: Whether the request certainly did not run; overrides the
+            table's `not_run` if passed to the constructor.
+        class_id: The class of the failed request, or None if unknown.
     """
 
     def __init__(
@@ -169,16 +169,17 @@
 
 
 class RefusedError(RouterError):
-    """The router decided against a request before any endpoint saw it."""
+    """The router rejected a request before sending it to an endpoint."""
 
 
 class EndpointError(RouterError):
-    """An endpoint failed a request, or could not be reached.
+    """An endpoint failed a request or could not be reached.
 
     Attributes:
         sent: Whether any byte of the request may have reached the endpoint.
         delivered: Whether any byte of the answer went to the caller.
-        broke: Whether the connection broke, as when the endpoint dies.
+        broke: Whether the connection broke, as it does if the endpoint
+            crashes.
     """
 
     def __init__(
@@ -203,14 +204,14 @@
 
 
 class UnavailableError(RouterError):
-    """The control state could not be reached or has no quorum."""
+    """The control processes are unreachable or have no quorum."""
 
 
 class ConfigError(RouterError):
-    """Settings or a document are wrong; carries every mistake found.
+    """Settings or a document are invalid; holds every mistake found.
 
     Attributes:
-        mistakes: One readable line per mistake, with its place.
+        mistakes: One line per mistake, with its location.
     """
 
     def __init__(self, mistakes: list[str]):
--- a/cardamombarrow/kernel/heads.py
+++ b/cardamombarrow/kernel/heads.py
@@ -1,10 +1,11 @@
-"""Reads the head of an HTTP/1.1 request, and refuses what is doubtful.
-
-Two programs that read one doubtful request in two ways see two different
-requests: what one takes for a body the other takes for a request of its own,
-with whatever headers its sender liked. A head with two lengths, a length
-beside chunks, a bare line feed or a folded field is therefore refused before
-any byte of it is passed on (RFC 9112, sections 2.2, 5 and 6.3).
+"""Parses the head of an HTTP/1.1 request and rejects ambiguous ones.
+
+Two programs that parse an ambiguous request differently can be made to disagree
+where it ends: one reads a body that the other reads as a second request, with
+headers chosen by the sender (request smuggling). A head with two lengths, a
+length together with chunked encoding, a bare line feed or a folded field is
+therefore rejected before any byte of it is forwarded (RFC 9112, sections 2.2, 5
+and 6.3).
 """
 
 import dataclasses
@@ -32,10 +33,10 @@
     """A request line and its fields.
 
     Attributes:
-        target: Path and query, as they came.
+        target: Path and query, as received.
         version: ``HTTP/1.0`` or ``HTTP/1.1``.
-        fields: Names and values in their order; values without the white
-            space around them.
+        fields: Names and values in order; values without surrounding white
+            space.
     """
 
     method: str
@@ -45,27 +46,28 @@
 
     @property
     def is_chunked(self) -> bool:
-        """Whether the body comes in chunks."""
+        """Whether the body is chunked."""
         return any(
             name.lower() == "transfer-encoding" for name, _ in self.fields
         )
 
 
 def parse(raw: bytes) -> RequestHead:
-    """Reads a head, up to and with its empty line.
+    """Parses a head that includes its final empty line.
 
     Raises:
-        errors.RefusedError: It is malformed, or can be read in two ways.
+        errors.RefusedError: It is malformed or ambiguous.
     """
     if not raw.endswith(b"\r\n\r\n"):
         raise _refused("the head does not end with an empty line")
     first, *lines = raw[:-4].split(b"\r\n")
     line = _REQUEST_LINE.fullmatch(first)
     if line is None:
-        raise _refused("no request line with a path")
+        raise _refused("the request line is malformed or has no path")
     if line["version"] not in _VERSIONS:
         raise errors.RefusedError(
-            errors.ErrorKind.UNKNOWN_VERSION, "HTTP/1.1 is spoken here"
+            errors.ErrorKind.UNKNOWN_VERSION,
+            "only HTTP/1.0 and HTTP/1.1 are supported",
         )
     fields = tuple(_field(each) for each in lines)
     version = f"HTTP/{line['version'].decode()}"
@@ -89,18 +91,20 @@
         lower = name.lower()
         if lower in _SINGLE:
             if lower in seen:
-                raise _refused(f"{name} stands twice")
+                raise _refused(f"{name} is repeated")
             seen[lower] = value
     if version == "HTTP/1.1" and not seen.get("host"):
-        raise _refused("there is no Host")
+        raise _refused("the Host header is missing")
     length = seen.get("content-length")
     if length is not None and not _LENGTH.fullmatch(length):
-        raise _refused("Content-Length is no number")
+        raise _refused("Content-Length is not a number")
     coding = seen.get("transfer-encoding")
     if coding is None:
         return
     if length is not None or version != "HTTP/1.1":
-        raise _refused("Transfer-Encoding beside Content-Length or HTTP/1.0")
+        raise _refused(
+            "Transfer-Encoding together with Content-Length or HTTP/1.0"
+        )
     if coding.lower() != "chunked":
         raise _refused("Transfer-Encoding is not chunked")
 
--- a/cardamombarrow/kernel/http.py
+++ b/cardamombarrow/kernel/http.py
@@ -1,8 +1,8 @@
-"""The HTTP server that callers and operators talk to.
+"""The HTTP server for callers and operators.
 
-werkzeug serves each connection in one task of a `ThreadPoolExecutor`, written
-straight down. werkzeug answers one request a connection and then closes it,
-so no answer can be read by the wrong caller.
+werkzeug serves each connection in one task of a `ThreadPoolExecutor`, with
+blocking code. It answers one request per connection and then closes it, so no
+answer can reach the wrong caller.
 """
 
 from concurrent import futures
@@ -26,13 +26,14 @@
 
 __all__ = ["HttpServer", "HttpSettings", "side_server"]
 
-WAITING_FACTOR = 2
-"""Connections that may be open, as a multiple of those served at once."""
+OPEN_CONNECTIONS_FACTOR = 2
+"""Most open connections, as a multiple of those served at once."""
 
 OTHER_DESCRIPTORS = 64
-"""Descriptors beside those of callers and endpoints: links, logs, polls."""
+"""File descriptors besides those of callers and endpoints: links between
+processes, logs, polls."""
 
-FULL_PAUSE_S = 0.05
+ACCEPT_PAUSE_S = 0.05
 
 _FULL_BODY = connection_module.error_body(
     errors.ErrorKind.OVERLOADED, "too many connections", retry_after_s=2.0
@@ -50,10 +51,10 @@
 
     host: str = settings.setting("127.0.0.1", help="address to listen on")
     port: int = settings.setting(
-        0, help="port to listen on; 0 takes a free one", low=0, high=65535
+        0, help="port to listen on; 0 selects a free one", low=0, high=65535
     )
     address: str = settings.setting(
-        "", help="address host:port to listen on, in place of the two above"
+        "", help="address host:port to listen on, instead of host and port"
     )
     connections: int = settings.setting(
         512, help="connections served at once", low=1, high=4096
@@ -68,7 +69,7 @@
     request_timeout_s: float = settings.setting(
         30.0,
         unit="s",
-        help="longest time until a request has come whole",
+        help="longest time until a request has been received in full",
         low=0.1,
         high=3600.0,
     )
@@ -76,7 +77,7 @@
         10.0,
         unit="s",
         help="longest wait for a caller to take one piece of an answer; "
-        "after it the caller counts as gone",
+        "after it the caller counts as disconnected",
         low=0.1,
         high=600.0,
     )
@@ -94,8 +95,8 @@
 
 
 def _check_descriptors(connections: int) -> None:
-    """Warns where the system allows too few open files for the settings."""
-    wanted = (WAITING_FACTOR + 1) * connections + OTHER_DESCRIPTORS
+    """Warns if the system allows too few open files for the settings."""
+    wanted = (OPEN_CONNECTIONS_FACTOR + 1) * connections + OTHER_DESCRIPTORS
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed < wanted:
         logs.event(
@@ -108,7 +109,7 @@
 
 
 class _Server(serving.BaseWSGIServer):
-    """werkzeug's server with an executor in the place of new threads."""
+    """werkzeug's server, with an executor instead of new threads."""
 
     multithread = True
     request_queue_size = 1024
@@ -122,45 +123,45 @@
             )
         host, port = http.place()
         super().__init__(host, port, app, handler=connection_module.Handler)
-        # The handshake runs in the connection's own task: done in the
-        # accepting thread, one silent client would hold up all others.
+        # The handshake runs in the connection's task: in the accepting thread,
+        # one silent client would delay all others.
         self._context = context
         self.limits = http
         _check_descriptors(http.connections)
         self._lock = threading.Lock()
         self._open = 0
-        self._most_open = WAITING_FACTOR * http.connections
+        self._max_open = OPEN_CONNECTIONS_FACTOR * http.connections
         self._executor = futures.ThreadPoolExecutor(
             max_workers=http.connections, thread_name_prefix="http"
         )
 
     def get_request(self) -> tuple[socket.socket, typing.Any]:
-        """Accepts a connection; pauses where no descriptor is left.
+        """Accepts a connection; pauses if no file descriptor is left.
 
-        The waiting connection stays ready, so that without a pause this
-        thread would try again and again and take a core.
+        The pending connection stays ready to accept, so without a pause this
+        thread would retry in a loop and use a whole core.
         """
         try:
             return super().get_request()
         except OSError as error:
             if error.errno in (errno.EMFILE, errno.ENFILE):
-                time.sleep(FULL_PAUSE_S)
+                time.sleep(ACCEPT_PAUSE_S)
             raise
 
     def process_request(
         self, request: socket.socket, client_address: typing.Any
     ) -> None:
-        """Hands a new connection to the executor, unless too many wait."""
+        """Submits a connection to the executor, unless too many are open."""
         with self._lock:
-            full = self._open >= self._most_open
+            full = self._open >= self._max_open
             self._open += not full
         if full:
-            self._turn_away(request)
+            self._reject(request)
         else:
             self._executor.submit(self._serve, request, client_address)
 
-    def _turn_away(self, connection: socket.socket) -> None:
-        # Done by the accepting thread, so it must not wait for the client.
+    def _reject(self, connection: socket.socket) -> None:
+        # Runs in the accepting thread, so it must not wait for the client.
         try:
             connection.setblocking(False)
             connection.send(_FULL_ANSWER)
@@ -190,14 +191,14 @@
                 self._open -= 1
 
     def server_close(self) -> None:
-        """Takes the connections that are set up already, then closes."""
+        """Serves the connections that are already established, then closes."""
         if self.socket.fileno() >= 0:
-            self._take_waiting()
+            self._serve_pending()
         super().server_close()
 
-    def _take_waiting(self) -> None:
-        # Closing the port resets them: those callers would see a request fail
-        # that no process had looked at.
+    def _serve_pending(self) -> None:
+        # Closing the port resets established connections that have not been
+        # accepted: their requests would fail without being read.
         self.socket.setblocking(False)
         while True:
             try:
@@ -208,19 +209,19 @@
             self.process_request(connection, address)
 
     def finish(self) -> None:
-        """Waits for the connections that are being served."""
+        """Waits until all open connections have been served."""
         self._executor.shutdown(wait=True)
 
 
 def side_server(address: str, app: typing.Any) -> "HttpServer | None":
-    """Returns a server for a platform's own questions, or None.
+    """Returns a server for the platform's probes, or None.
 
-    Asked on a port of its own, a process answers while its callers hold all
-    the threads that serve them.
+    On a separate port, a process answers probes even while callers occupy all
+    threads of the main server.
 
     Args:
         address: ``host:port``; empty for none.
-        app: What it serves.
+        app: The WSGI application that it serves.
     """
     if not address:
         return None
@@ -238,16 +239,16 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port that the server listens on."""
         return self._server.server_port
 
     def start(self) -> None:
-        """Starts accepting connections; does nothing once it does."""
+        """Starts accepting connections; does nothing if already started."""
         if self._thread.ident is None:
             self._thread.start()
 
     def stop(self) -> None:
-        """Stops accepting and waits for every connection to be served."""
+        """Stops accepting and waits until all connections have been served."""
         self._server.shutdown()
         self._thread.join()
         self._server.server_close()
--- a/cardamombarrow/kernel/ids.py
+++ b/cardamombarrow/kernel/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers: distinct types, so that one is not passed for another."""
+"""Identifiers: one type each, so that type checkers tell them apart."""
 
 import secrets
 import typing
@@ -45,30 +45,28 @@
     return RequestId(secrets.token_hex(12))
 
 
-_IDENTITY_MARK = "#"
+_IDENTITY_SEPARATOR = "#"
 
 
 def endpoint_id(address: str, identity: str = "") -> EndpointId:
     """Returns the id of an endpoint.
 
-    An address may be given to another endpoint after one has ended. With the
-    identity in the id, what was learned of the first is not held against the
-    second.
+    An address may be reused by another endpoint after one has ended. With the
+    identity in the id, statistics of the first are not applied to the second.
 
     Args:
         address: ``host:port``.
-        identity: What the endpoint calls itself; empty where that is not
-            known.
+        identity: The endpoint's own id, as it reports it; empty if unknown.
     """
-    mark = _IDENTITY_MARK if identity else ""
-    return EndpointId(f"{address}{mark}{identity}")
+    separator = _IDENTITY_SEPARATOR if identity else ""
+    return EndpointId(f"{address}{separator}{identity}")
 
 
 def address_of(endpoint: EndpointId) -> str:
     """Returns the address ``host:port`` of an endpoint."""
-    return endpoint.partition(_IDENTITY_MARK)[0]
+    return endpoint.partition(_IDENTITY_SEPARATOR)[0]
 
 
 def identity_of(endpoint: EndpointId) -> str:
-    """Returns what an endpoint calls itself; empty where not known."""
-    return endpoint.partition(_IDENTITY_MARK)[2]
+    """Returns the identity in an endpoint's id; empty if unknown."""
+    return endpoint.partition(_IDENTITY_SEPARATOR)[2]
--- a/cardamombarrow/kernel/lifecycle.py
+++ b/cardamombarrow/kernel/lifecycle.py
@@ -16,35 +16,35 @@
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Starts the part; returns once it does its work."""
+        """Starts the part; returns once it is running."""
 
     @abc.abstractmethod
     def stop(self) -> None:
-        """Stops the part; returns once its work is finished."""
+        """Stops the part; returns once it has finished."""
 
 
 def ignore_hangup() -> None:
-    """Makes SIGHUP harmless until `Process` takes it.
+    """Ignores SIGHUP until `Process` handles it.
 
-    By default it ends a process: a change of the settings file, told to a
-    process that has not finished starting, would kill it.
+    By default SIGHUP ends a process: one sent after a change of the settings
+    file, to a process that is still starting, would kill it.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 SIGNAL_LOOK_S = 0.5
-"""Longest time in which a signal is not seen that came at a bad moment.
+"""Longest delay of a signal that does not wake the main thread.
 
-The interpreter notes a signal and calls its handler from the main thread once
-that runs. One that comes as that thread is about to wait, or on another thread,
-does not wake it: an entry that was told to stop as it had just started served
-on until it was told again. So the wait is short, and begun again."""
+The interpreter records a signal and calls its handler once the main thread
+runs. A signal that arrives as that thread is about to wait, or on another
+thread, does not wake it: an entry that had just started ignored SIGTERM until
+the second one. So the main thread waits in short intervals."""
 
 
 class Process:
     """Runs parts until SIGTERM or SIGINT arrives.
 
-    SIGHUP calls `on_hangup`, where there is one, and is ignored otherwise.
+    SIGHUP calls `on_hangup` if given and is ignored otherwise.
 
     Example:
         >>> Process([server, poller]).run()  # doctest: +SKIP
@@ -85,8 +85,8 @@
 
 
 def _stop(part: Part) -> None:
-    # A part that fails to stop must not keep the others from it: their
-    # threads would go on, and the process would never end.
+    # A part that fails to stop must not prevent the others from stopping:
+    # their threads would run on, and the process would never end.
     name = type(part).__name__
     try:
         part.stop()
--- a/cardamombarrow/kernel/loading.py
+++ b/cardamombarrow/kernel/loading.py
@@ -1,4 +1,4 @@
-"""Loads modules without garbage collections meanwhile."""
+"""Imports modules with the garbage collector paused."""
 
 from collections import abc
 import contextlib
@@ -11,8 +11,8 @@
 def modules() -> abc.Iterator[None]:
     """Pauses the garbage collector while the body imports modules.
 
-    What modules are made of stays until the process ends: a collection finds
-    nothing in it, now or later, so it is left out of later ones as well.
+    Objects of modules live until the process ends, so collecting them frees
+    nothing; they are frozen to exclude them from later collections as well.
     """
     gc.disable()
     try:
--- a/cardamombarrow/kernel/logs.py
+++ b/cardamombarrow/kernel/logs.py
@@ -1,7 +1,7 @@
 """Logs: one JSON line per event, one line per decision.
 
-`decision` writes the line that the brief asks for at each routing or
-placement decision. Field names carry their unit.
+`decision` writes one line for each routing or placement decision. Field names
+contain their unit.
 """
 
 import atexit
@@ -17,8 +17,8 @@
 
 __all__ = ["configure", "decision", "event"]
 
-MOST_WAITING_LINES = 10_000
-"""Lines that may wait to be written, so that memory stays bounded."""
+MAX_QUEUED_LINES = 10_000
+"""Most lines that wait to be written, to limit memory."""
 
 CLOSE_TIMEOUT_S = 2.0
 
@@ -26,11 +26,11 @@
 
 
 class _LineWriter:
-    """Writes lines from a thread of its own, those that are ready together.
+    """Writes lines from its own thread, all that are ready in one write.
 
-    Requests write log lines while they hold locks. A write gives the
-    interpreter lock away; under load, getting it back took longer than the
-    write, and all that waited for those locks waited with it.
+    Requests write log lines while they hold locks. A write releases the
+    interpreter lock; under load, reacquiring it took longer than the write and
+    delayed everything that waited for the request's locks.
     """
 
     def __init__(self, stream: typing.TextIO):
@@ -44,12 +44,12 @@
         atexit.register(self._close)
 
     def write(self, line: str) -> None:
-        """Hands a line over, or drops it where too many lie there already.
+        """Queues a line, or drops it if too many are queued.
 
-        Whoever reads the log may have stopped: a request that waited for it
-        would be answered late, or never.
+        If the reader of the log has stopped, a request that waited for it
+        would be answered late or never.
         """
-        if self._lines.qsize() >= MOST_WAITING_LINES:
+        if self._lines.qsize() >= MAX_QUEUED_LINES:
             self._dropped += 1
         else:
             self._lines.put(line)
@@ -64,7 +64,7 @@
             dropped, self._dropped = self._dropped, 0
             if dropped:
                 ready.append(f'{{"event": "lines dropped", "n": {dropped}}}\n')
-            # Whoever read the log may be gone; requests go on without it.
+            # The reader of the log may have exited; requests continue.
             with contextlib.suppress(OSError, ValueError):
                 self._stream.write("".join(line for line in ready if line))
                 self._stream.flush()
@@ -78,9 +78,9 @@
     """Sends log lines as JSON to standard output.
 
     Args:
-        level: Least level that is written, such as ``INFO``.
-        role: ``entry`` or ``control``; stands in every line.
-        instance: This instance's id; stands in every line.
+        level: Lowest level that is written, such as ``INFO``.
+        role: ``entry`` or ``control``; a field of every line.
+        instance: This instance's id; a field of every line.
     """
     _LOGGER.remove()
     lines = _LineWriter(sys.stdout)
@@ -104,15 +104,15 @@
 
 
 def event(name: str, level: str = "INFO", **fields: typing.Any) -> None:
-    """Writes one line about something that happened."""
+    """Logs one event."""
     _LOGGER.bind(**fields).log(level, name)
 
 
 def decision(name: str, **fields: typing.Any) -> None:
-    """Writes one line about a routing or placement decision.
+    """Logs one routing or placement decision.
 
     Args:
         name: The decision, such as ``place`` or ``refuse``.
-        **fields: What was weighed, what was chosen and why.
+        **fields: The alternatives, the choice and its reason.
     """
     _LOGGER.bind(decision=name, **fields).log("INFO", "decision")
--- a/cardamombarrow/kernel/registry.py
+++ b/cardamombarrow/kernel/registry.py
@@ -1,9 +1,9 @@
-"""The kernel's registry: plug-ins register themselves by slot and name.
+"""A registry of plug-ins by slot and name.
 
-A slot is a place where behaviour varies (`choice`, `admission`,
+A slot is a replaceable decision or protocol (`choice`, `admission`,
 `endpoint-kind`, ...). A plug-in is a class that derives from the slot's
-abstract base class and carries the decorator `plugin`. Which one runs is
-chosen by name in the configuration document.
+abstract base class and has the decorator `plugin`. The configuration document
+selects the plug-in of a slot by name.
 """
 
 import importlib
@@ -23,14 +23,14 @@
     """Registers the decorated class under a slot and a name.
 
     Args:
-        slot: The place where behaviour varies, such as ``choice``.
+        slot: The slot, such as ``choice``.
         name: The name that the document uses, such as ``round-robin``.
 
     Returns:
         The decorator; it returns the class unchanged.
 
     Raises:
-        ValueError: The name is taken by another class.
+        ValueError: Another class is registered under that name.
     """
 
     def register(cls: type[_T]) -> type[_T]:
@@ -47,7 +47,8 @@
     """Returns the class registered under a slot and a name.
 
     Raises:
-        UnknownPluginError: There is none; the message lists the known names.
+        UnknownPluginError: No such plug-in; the message lists the known
+            names.
     """
     try:
         return _PLUGINS[slot][name]
@@ -64,6 +65,6 @@
 
 
 def load(*modules: str) -> None:
-    """Imports modules so that the plug-ins in them register themselves."""
+    """Imports modules, which registers the plug-ins in them."""
     for module in modules:
         importlib.import_module(module)
--- a/cardamombarrow/kernel/reloading.py
+++ b/cardamombarrow/kernel/reloading.py
@@ -1,8 +1,8 @@
-"""Takes a changed settings file while the process runs.
+"""Applies a changed settings file while the process runs.
 
-The file may change with a signal or without one, so it is looked at every
-`LOOK_S` seconds, and at once after SIGHUP. A file that can't be read, or that
-has mistakes, changes nothing.
+The file is read every `LOOK_S` seconds, and at once after SIGHUP, since not
+every change comes with a signal. A file that can't be read, or that has
+mistakes, changes nothing.
 """
 
 from collections import abc
@@ -41,7 +41,7 @@
 
 
 class Reloader(lifecycle.Part, typing.Generic[_T]):
-    """Looks at one settings file."""
+    """Reloads one settings file when it changes."""
 
     def __init__(
         self,
@@ -54,41 +54,41 @@
         Args:
             path: The settings file.
             current: The settings in force.
-            appliers: What takes a changed key into force, by
-                ``section.key``; other keys need a restart.
+            appliers: Functions that apply a changed key, by ``section.key``;
+                other keys need a restart.
         """
         self._path = path
         self._current = current
         self._appliers = appliers
         self._text = self._read()
-        self._asked = threading.Event()
+        self._requested = threading.Event()
         self._stopped = False
         self._thread = threading.Thread(
             target=self._run, name="reload", daemon=True
         )
 
     def start(self) -> None:
-        """Starts looking."""
+        """Starts the thread that checks the file."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stops looking."""
+        """Stops the thread."""
         self._stopped = True
-        self._asked.set()
+        self._requested.set()
         self._thread.join()
 
     def ask(self) -> None:
-        """Asks for a look at once; safe in a signal handler."""
-        self._asked.set()
+        """Requests a reload at once; safe in a signal handler."""
+        self._requested.set()
 
     def _run(self) -> None:
         while True:
-            asked = self._asked.wait(LOOK_S)
-            self._asked.clear()
+            by_request = self._requested.wait(LOOK_S)
+            self._requested.clear()
             if self._stopped:
                 return
             try:
-                self._look(asked)
+                self._reload(by_request)
             except Exception as error:
                 logs.event("reload failed", "ERROR", detail=repr(error))
 
@@ -98,9 +98,9 @@
         except (OSError, UnicodeDecodeError):
             return None
 
-    def _look(self, asked: bool) -> None:
+    def _reload(self, by_request: bool) -> None:
         text = self._read()
-        if text is None or (text == self._text and not asked):
+        if text is None or (text == self._text and not by_request):
             return
         self._text = text
         try:
@@ -115,7 +115,7 @@
         self._current = new
         logs.event(
             "reload",
-            signal=asked,
+            signal=by_request,
             applied=applied,
             needs_restart=sorted(keys - set(self._appliers)),
         )
--- a/cardamombarrow/kernel/settings.py
+++ b/cardamombarrow/kernel/settings.py
@@ -1,10 +1,10 @@
 """Settings of one process, read from an INI file.
 
 Each role declares frozen dataclasses, one per INI section, whose fields are
-made with `setting`: default, unit, range and meaning stand beside the field,
-and `describe` prints them for the documentation. `read` reports every mistake
-at once, each with file, section, key and reason: an operator who mends one
-mistake per start would need as many starts as there are mistakes.
+made with `setting`: default, unit, range and meaning are declared with the
+field, and `describe` prints them for the documentation. `read` reports every
+mistake at once, each with file, section, key and reason, so that an operator
+doesn't need one start per mistake.
 """
 
 import configparser
@@ -31,10 +31,10 @@
     """Declares one key of a settings section.
 
     Args:
-        default: Value when the key is absent; without one it is required.
+        default: Value if the key is absent; without one the key is required.
         help: What the key is for.
         unit: Unit of the value, such as ``s`` or ``bytes``.
-        low: Smallest allowed number, inclusive; for text, its least length.
+        low: Smallest allowed number, inclusive; for text, its minimum length.
         high: Largest allowed number, inclusive.
 
     Returns:
@@ -102,11 +102,11 @@
     Args:
         cls: A dataclass whose fields are made with `setting`.
         raw: Text by key.
-        place: File and section, for the mistakes.
-        mistakes: Mistakes found are added here.
+        place: File and section, for the messages.
+        mistakes: List that the mistakes found are appended to.
 
     Returns:
-        The section, or None where it has mistakes.
+        The section, or None if it has mistakes.
     """
     known = {field.name: field for field in dataclasses.fields(cls)}
     for key in raw:
@@ -163,9 +163,9 @@
         raise ValueError(f"{raw!r} is not a {name}") from None
     low, high = field.metadata["low"], field.metadata["high"]
     if low is not None and value < low:
-        raise ValueError(f"{value} is under the least, {low}")
+        raise ValueError(f"{value} is below the minimum, {low}")
     if high is not None and value > high:
-        raise ValueError(f"{value} is over the most, {high}")
+        raise ValueError(f"{value} is above the maximum, {high}")
     return value
 
 
--- a/cardamombarrow/kernel/tests/test_chunked.py
+++ b/cardamombarrow/kernel/tests/test_chunked.py
@@ -1,4 +1,4 @@
-"""Bodies in chunks arrive as they were sent, or not at all."""
+"""Reading of chunked bodies."""
 
 import io
 
@@ -42,8 +42,8 @@
         b"\r\n",
     ],
 )
-def test_a_malformed_body_is_refused(raw):
-    # The caller leaves in the middle of a chunk, or counts its bytes wrongly.
-    # An endpoint must not be sent what came as if it were the whole body.
+def test_a_malformed_body_is_rejected(raw):
+    # The caller disconnects within a chunk, or announces a wrong size. An
+    # endpoint must not receive the part that came as a complete body.
     with pytest.raises(OSError):
         _read(raw)
--- a/cardamombarrow/kernel/tests/test_errors.py
+++ b/cardamombarrow/kernel/tests/test_errors.py
@@ -10,7 +10,7 @@
     assert errors.ANSWERS[kind].status >= 400
 
 
-def test_an_endpoint_error_after_sending_is_never_not_run():
+def test_a_sent_request_may_have_run():
     error = errors.EndpointError(
         errors.ErrorKind.ENDPOINT_FAILED, "reset", sent=True
     )
--- a/cardamombarrow/kernel/tests/test_heads.py
+++ b/cardamombarrow/kernel/tests/test_heads.py
@@ -1,4 +1,4 @@
-"""Request heads that can be read in two ways are refused."""
+"""Parsing of request heads; ambiguous ones are rejected."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 _HOST = b"Host: one.example\r\n"
 
 
-def test_a_head_is_read():
+def test_a_head_is_parsed():
     head = heads.parse(_LINE + _HOST + b"X-A:  b c \r\nX-A: d\r\n\r\n")
     assert (head.method, head.target) == ("POST", "/a/b?c=%20d")
     assert head.fields[1:] == (("X-A", "b c"), ("X-A", "d"))
@@ -45,9 +45,9 @@
         b"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
     ],
 )
-def test_a_doubtful_head_is_refused(raw):
-    # A caller hides a second request in the first. The entry and an endpoint
-    # that read such a head differently would not see the same requests.
+def test_an_ambiguous_head_is_rejected(raw):
+    # Request smuggling: a caller hides a second request in the first, which an
+    # entry and an endpoint see differently if they parse the head differently.
     with pytest.raises(errors.RefusedError) as caught:
         heads.parse(raw)
     assert caught.value.kind is errors.ErrorKind.BAD_REQUEST
--- a/cardamombarrow/kernel/tests/test_lifecycle.py
+++ b/cardamombarrow/kernel/tests/test_lifecycle.py
@@ -26,16 +26,16 @@
 
 
 @pytest.fixture(autouse=True)
-def _keep_signals():
-    kept = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT)}
+def _restore_signal_handlers():
+    saved = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT)}
     yield
-    for number, handler in kept.items():
+    for number, handler in saved.items():
         signal.signal(number, handler)
 
 
-def test_a_part_that_fails_to_stop_does_not_keep_the_others_from_it():
-    # An entry whose port was closed already raised at its stop; the parts
-    # behind it went on and the process had to be killed.
+def test_all_parts_are_stopped_if_one_fails_to_stop():
+    # The HTTP server of an entry raised when stopped, as its port was closed
+    # already. The remaining parts ran on, and the process had to be killed.
     stopped = []
     lifecycle.Process(
         [
@@ -47,14 +47,14 @@
     assert stopped == ["last", "middle", "first"]
 
 
-_LATE = """
+_SIGNAL_ON_OTHER_THREAD = """
 import signal, threading, time
 from cardamombarrow.kernel import lifecycle
 
 class Other(lifecycle.Part):
     def start(self):
         threading.Thread(target=time.sleep, args=(60,), daemon=True).start()
-        # From here on the system hands the signal to the other thread.
+        # From here on the system delivers the signal to the other thread.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM})
         print("started", flush=True)
 
@@ -65,12 +65,14 @@
 """
 
 
-def test_a_signal_that_does_not_wake_the_main_thread_is_seen():
-    # An operator stops an entry that has just started. The signal comes as
-    # the main thread is about to wait, or on another thread: noted, and not
-    # looked at. The entry served on and was killed in the middle of answers.
+def test_a_signal_that_does_not_wake_the_main_thread_is_handled():
+    # An entry that has just started is stopped. The signal arrives as the main
+    # thread is about to wait, or on another thread, so its handler did not
+    # run: the entry went on serving and was killed in the middle of answers.
     process = subprocess.Popen(
-        [sys.executable, "-c", _LATE], stdout=subprocess.PIPE, text=True
+        [sys.executable, "-c", _SIGNAL_ON_OTHER_THREAD],
+        stdout=subprocess.PIPE,
+        text=True,
     )
     try:
         lines = iter(process.stdout.readline, "")
--- a/cardamombarrow/kernel/tests/test_loading.py
+++ b/cardamombarrow/kernel/tests/test_loading.py
@@ -1,4 +1,4 @@
-"""Modules that are loaded without garbage collections."""
+"""Importing modules with the garbage collector paused."""
 
 import gc
 
@@ -8,20 +8,20 @@
 
 
 @pytest.fixture(autouse=True)
-def _thawed():
+def _unfreeze():
     yield
     gc.unfreeze()
 
 
-def test_nothing_is_collected_meanwhile_and_the_collector_runs_after():
+def test_the_collector_is_paused_and_resumed():
     with loading.modules():
         assert not gc.isenabled()
     assert gc.isenabled()
     assert gc.get_freeze_count()
 
 
-def test_the_collector_runs_after_a_module_that_fails_to_load():
-    # Guards against a process that never collects again.
+def test_the_collector_is_resumed_if_an_import_fails():
+    # Otherwise the process would never collect garbage again.
     with pytest.raises(ImportError), loading.modules():
         raise ImportError("no such module")
     assert gc.isenabled()
--- a/cardamombarrow/kernel/tests/test_reloading.py
+++ b/cardamombarrow/kernel/tests/test_reloading.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Part:
-    name: str = settings.setting(help="needed, as every role needs its id")
+    name: str = settings.setting(help="a required key")
     names: tuple[str, ...] = settings.setting((), help="names")
     size: int = settings.setting(1, help="size")
 
@@ -29,47 +29,47 @@
 
 
 @pytest.fixture
-def taken():
+def applied():
     return []
 
 
 @pytest.fixture
-def reloader(path, taken):
+def reloader(path, applied):
     current = settings.read(_Settings, path)
-    appliers = {"part.names": lambda new: taken.append(new.part.names)}
+    appliers = {"part.names": lambda new: applied.append(new.part.names)}
     made = reloading.Reloader(path, current, appliers)
     made.start()
     yield made
     made.stop()
 
 
-def _wait(taken, count):
+def _wait(applied, count):
     deadline_s = time.monotonic() + 10
-    while len(taken) < count and time.monotonic() < deadline_s:
+    while len(applied) < count and time.monotonic() < deadline_s:
         time.sleep(0.01)
 
 
-def test_a_change_is_taken_when_asked_for(path, taken, reloader):
+def test_a_change_is_applied_on_request(path, applied, reloader):
     path.write_text("[part]\nname = x\nnames = a, b\nsize = 2\n")
     reloader.ask()
-    _wait(taken, 1)
-    assert taken == [("a", "b")]
+    _wait(applied, 1)
+    assert applied == [("a", "b")]
 
 
-def test_a_file_with_mistakes_changes_nothing(path, taken, reloader):
-    # The file is read while it is being written, or its writer made a
-    # mistake. The process goes on with what it has.
+def test_a_file_with_mistakes_changes_nothing(path, applied, reloader):
+    # The file is read while it is being written, or has a mistake. The
+    # process continues with its current settings.
     path.write_text("[part]\nname = x\nsize = many\n")
     reloader.ask()
     path.unlink()
     reloader.ask()
     path.write_text("[part]\nname = x\nnames = c\n")
     reloader.ask()
-    _wait(taken, 1)
-    assert taken == [("c",)]
+    _wait(applied, 1)
+    assert applied == [("c",)]
 
 
-def test_changed_keys_are_told_by_section():
+def test_changed_keys_are_named_by_section():
     old = _Settings(_Part("x", ("a",), 1))
     new = _Settings(_Part("x", ("a",), 2))
     assert reloading.changed_keys(old, new) == {"part.size"}
--- a/cardamombarrow/kernel/tests/test_settings.py
+++ b/cardamombarrow/kernel/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every mistake at once, each with its place."""
+"""Settings: all mistakes are reported at once, each with its location."""
 
 import pytest
 
@@ -17,16 +17,15 @@
 """
 
 
-def test_defaults_fill_what_is_not_set():
+def test_defaults_are_used_for_absent_keys():
     read = settings.parse(entry_settings.EntrySettings, _GOOD)
     assert read.instance.id == "entry-1"
     assert read.peers.controls == ("10.0.0.1:7000", "10.0.0.2:7000")
     assert read.http.connections == 512
 
 
-def test_all_mistakes_are_told_at_once(snapshot):
-    # An operator who mends one mistake per start needs as many starts as
-    # there are mistakes.
+def test_all_mistakes_are_reported_at_once(snapshot):
+    # Otherwise an operator would need one start per mistake.
     text = (
         _GOOD.replace("id = entry-1\n", "")
         + "[http]\nport = 99999\nconnections = many\nhots = 1\n[htp]\nx = 1\n"
