--- a/cardamombarrow/__main__.py
+++ b/cardamombarrow/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the one command, ``cardamombarrow``."""
+"""Entry point of the command ``cardamombarrow``."""
 
 import sys
 
--- a/cardamombarrow/admin/app.py
+++ b/cardamombarrow/admin/app.py
@@ -1,4 +1,4 @@
-"""The administration API: read and edit the document, see the state."""
+"""The administration API: reads and edits of the document, and status."""
 
 from collections import abc
 import dataclasses
@@ -54,21 +54,21 @@
     machine.EditStatus.ID_REUSED: 422,
 }
 
-Followers = abc.Callable[[], dict[ids.InstanceId, followers.Follower]]
+GetFollowers = abc.Callable[[], dict[ids.InstanceId, followers.Follower]]
 
 
 class AdminApp:
-    """Serves operators."""
+    """The WSGI application of the administration API."""
 
     def __init__(
         self,
         log: base.Log,
         state: state_module.ControlState,
-        known_followers: Followers,
+        get_followers: GetFollowers,
     ):
         self._log = log
         self._state = state
-        self._followers = known_followers
+        self._get_followers = get_followers
         self._editions = editions.Editions(log, state)
 
     def __call__(
@@ -96,21 +96,21 @@
             ) from None
         if endpoint == "health":
             return wrappers.Response("ok\n")
-        if self._is_newest_wanted(request):
-            self._catch_up()
+        if self._needs_catch_up(request):
+            self._wait_for_document()
         owner = self._authenticate(request)
         return getattr(self, f"_on_{endpoint}")(request, owner)
 
-    def _is_newest_wanted(self, request: wrappers.Request) -> bool:
+    def _needs_catch_up(self, request: wrappers.Request) -> bool:
         return request.method != "GET" or request.args.get("fresh") == "yes"
 
-    def _catch_up(self) -> None:
-        """Waits until there is a document to know the caller by.
+    def _wait_for_document(self) -> None:
+        """Waits for the first document, which contains the operators' tokens.
 
-        A process that has just started may have a leader and not have applied
-        its log yet. It knows no token then, and would refuse an operator whom
-        it can serve a moment later. Once it has a document nobody waits here,
-        so that strangers cost no round of the log.
+        A process that has just started may not have applied its log yet. It has
+        no tokens to compare and would reject a valid operator. Once it has a
+        document, this returns at once, so that unauthenticated requests cause
+        no round of the log.
         """
         if self._state.document.revision == state_module.NO_DOCUMENT:
             outcomes.wait(self._log.barrier(), EDIT_TIMEOUT_S)
@@ -138,10 +138,10 @@
     def _on_document(
         self, request: wrappers.Request, owner: ids.OwnerId
     ) -> wrappers.Response:
-        """Answers with the document as it is known here.
+        """Returns the document as applied by this process.
 
         With ``fresh=yes`` it is at least as new as every edit that was
-        accepted before the request, wherever it entered.
+        accepted before the request, by any control process.
         """
         if request.args.get("fresh") == "yes":
             outcomes.wait(self._log.barrier(), EDIT_TIMEOUT_S)
@@ -158,7 +158,7 @@
     def _on_edit(
         self, request: wrappers.Request, owner: ids.OwnerId
     ) -> wrappers.Response:
-        edit = _read_edit(request, owner)
+        edit = _parse_edit(request, owner)
         command = control_pb2.Command(edit=codec.edit_to_wire(edit))
         raw = outcomes.wait(
             self._log.propose(command.SerializeToString()), EDIT_TIMEOUT_S
@@ -170,8 +170,8 @@
     def _on_edition(
         self, request: wrappers.Request, owner: ids.OwnerId
     ) -> wrappers.Response:
-        """Replaces the whole document, under the operator's own number."""
-        self._check_all_rights(owner)
+        """Replaces the whole document by an edition."""
+        self._require_all_sections(owner)
         try:
             raw = json.loads(self._editions.read_text(request))
             number, text = int(raw["number"]), str(raw["text"])
@@ -184,7 +184,7 @@
         invalid = answer.status is machine.EditionStatus.INVALID
         return _json(content, 422 if invalid else 200)
 
-    def _check_all_rights(self, owner: ids.OwnerId) -> None:
+    def _require_all_sections(self, owner: ids.OwnerId) -> None:
         if "*" not in _document(self._state).owners[owner].sections:
             raise errors.RefusedError(
                 errors.ErrorKind.FORBIDDEN,
@@ -209,7 +209,7 @@
                 "applied_revision": follower.applied_revision,
                 "heard_ago_s": round(now_s - follower.last_report_s, 3),
             }
-            for follower in list(self._followers().values())
+            for follower in list(self._get_followers().values())
         }
         revision = self._state.document.revision
         return _json({"revision": revision, "instances": instances})
@@ -223,11 +223,11 @@
     def _on_member(
         self, request: wrappers.Request, owner: ids.OwnerId
     ) -> wrappers.Response:
-        """Adds a learner, promotes it to a voter, or removes a member."""
-        self._check_all_rights(owner)
-        change = self._read_change(request)
+        """Adds a learner, promotes one to a voter, or removes a member."""
+        self._require_all_sections(owner)
+        change = self._parse_change(request)
         logs.event(
-            "membership change asked for",
+            "membership change requested",
             change=change.kind.value,
             member=change.member.id,
             owner=owner,
@@ -239,7 +239,7 @@
             raise errors.RefusedError(errors.ErrorKind.CONFLICT, reason)
         return _json({"status": "done", "member": change.member.id})
 
-    def _read_change(self, request: wrappers.Request) -> membership.Change:
+    def _parse_change(self, request: wrappers.Request) -> membership.Change:
         try:
             raw = json.loads(request.get_data())
             kind = membership.ChangeKind(raw["change"])
@@ -252,8 +252,8 @@
         if member is None:
             raise errors.RefusedError(
                 errors.ErrorKind.NOT_FOUND,
-                f"{name!r} is no member and has not asked to be let in here; "
-                "start its process first, then see `status`",
+                f"{name!r} is not a member and has not requested to join; "
+                "start its process first, then check `status`",
             )
         return membership.Change(kind, member)
 
@@ -277,7 +277,7 @@
     return formats.parse(accepted.format, accepted.text)
 
 
-def _read_edit(request: wrappers.Request, owner: ids.OwnerId) -> machine.Edit:
+def _parse_edit(request: wrappers.Request, owner: ids.OwnerId) -> machine.Edit:
     try:
         raw = json.loads(request.get_data())
         replacements = {
--- a/cardamombarrow/admin/client.py
+++ b/cardamombarrow/admin/client.py
@@ -1,4 +1,4 @@
-"""The operators' side of the administration API."""
+"""The client of the administration API."""
 
 import json
 import typing
@@ -14,7 +14,7 @@
 
 
 class AdminClient:
-    """Asks the control processes in turn until one answers."""
+    """Calls the control processes in turn until one answers."""
 
     def __init__(self, urls: list[str], token: str, ca_file: str = ""):
         self._urls = urls
@@ -28,38 +28,38 @@
         """Reads one resource.
 
         Raises:
-            errors.RouterError: No control process gave it.
+            errors.RouterError: No control process returned it.
         """
         if query:
             path = f"{path}?{urllib.parse.urlencode(query)}"
-        return self._ask("GET", path, None, ok=(200,))
+        return self._send("GET", path, None, ok=(200,))
 
     def edit(self, edit: dict[str, typing.Any]) -> dict[str, typing.Any]:
-        """Sends an edit; the answer's ``status`` says what became of it.
+        """Sends an edit; the answer's ``status`` is its outcome.
 
-        An edit whose answer was lost is sent again, through the next control
-        process, under the same edit id, which cannot do it twice.
+        An edit whose answer is lost is resent to the next control process with
+        the same edit id, so it is not applied twice.
         """
         body = json.dumps(edit).encode()
-        return self._ask("POST", "/v1/edits", body, ok=(200, 403, 409, 422))
+        return self._send("POST", "/v1/edits", body, ok=(200, 403, 409, 422))
 
     def push(self, number: int, text: str) -> dict[str, typing.Any]:
-        """Hands in a whole document under the operator's own number."""
+        """Sends an edition: a whole document with the operator's number."""
         body = json.dumps({"number": number, "text": text}).encode()
-        return self._ask("PUT", "/v1/editions", body, ok=(200, 422))
+        return self._send("PUT", "/v1/editions", body, ok=(200, 422))
 
     def change_member(
         self, kind: membership.ChangeKind, member: str
     ) -> dict[str, typing.Any]:
-        """Asks for a change of the log's members; see `log.membership`.
+        """Requests a change of the log's members; see `log.membership`.
 
         Raises:
-            errors.RouterError: It was refused, or there is no quorum.
+            errors.RouterError: It was rejected, or there is no quorum.
         """
         body = json.dumps({"change": kind.value, "member": member}).encode()
-        return self._ask("POST", "/v1/members", body, ok=(200,))
+        return self._send("POST", "/v1/members", body, ok=(200,))
 
-    def _ask(
+    def _send(
         self, method: str, path: str, body: bytes | None, ok: tuple[int, ...]
     ) -> dict[str, typing.Any]:
         failure: errors.RouterError | None = None
@@ -86,5 +86,5 @@
             if reply.status < 500:
                 break
         raise failure or errors.RouterError(
-            errors.ErrorKind.BAD_REQUEST, "name at least one --url"
+            errors.ErrorKind.BAD_REQUEST, "give at least one --url"
         )
--- a/cardamombarrow/admin/editions.py
+++ b/cardamombarrow/admin/editions.py
@@ -1,7 +1,7 @@
-"""Whole documents under the operator's own numbers: handing in, reading back.
+"""Writing and reading editions: whole documents with the operator's numbers.
 
-Operators of editions speak protocols of their own; an `OperatorApp` plug-in
-translates between one and the calls of `Editions`.
+Operators may send editions by their own protocol; an `OperatorApp` plug-in
+translates it to calls of `Editions`.
 """
 
 import abc
@@ -25,13 +25,13 @@
 SLOT = "operator-app"
 
 TIMEOUT_S = 4.0
-"""Longest wait for a majority; the operator then asks another process."""
+"""Longest wait for a majority; then the operator tries another process."""
 
 LIMIT_BYTES = 4_000_000
 
 
 class Editions:
-    """Hands editions to the log and reads the newest one back."""
+    """Proposes editions to the log and reads the newest document."""
 
     def __init__(self, log: base.Log, state: state_module.ControlState):
         self._log = log
@@ -41,7 +41,7 @@
         """Returns a request's body as text.
 
         Raises:
-            errors.RefusedError: It is too long, cut short or no UTF-8.
+            errors.RefusedError: It is too long, incomplete or not UTF-8.
         """
         request.max_content_length = LIMIT_BYTES
         try:
@@ -52,19 +52,20 @@
             ) from None
         except (exceptions.ClientDisconnected, OSError, UnicodeDecodeError):
             raise errors.RefusedError(
-                errors.ErrorKind.BAD_REQUEST, "cut short, or no UTF-8"
+                errors.ErrorKind.BAD_REQUEST,
+                "the body is incomplete or not UTF-8",
             ) from None
 
     def put(
         self, number: int, text: str, format_name: str
     ) -> machine.EditionAnswer:
-        """Hands an edition in.
+        """Proposes an edition and returns the answer.
 
         Raises:
             errors.UnavailableError: No majority accepted it in time; it may
                 still be accepted later.
         """
-        answer = self._known(number, text, format_name)
+        answer = self._answer_locally(number, text, format_name)
         if answer is None:
             answer = self._propose(machine.Edition(number, text, format_name))
         logs.decision(
@@ -77,16 +78,16 @@
         )
         return answer
 
-    def _known(
+    def _answer_locally(
         self, number: int, text: str, format_name: str
     ) -> machine.EditionAnswer | None:
-        """Returns the answer to an edition that no majority need decide.
+        """Returns the answer to an edition if it needs no majority, or None.
 
-        What is invalid never costs a round of the log, and is told even
-        without a majority. Nor does one that a higher number has overtaken:
-        what this process has applied a majority has accepted. An operator
-        whose answers get lost sends the same edition again and again, and
-        each would go whole to every other control process.
+        An invalid edition, and one whose number is not above the applied one,
+        are answered without a round of the log, so also without a majority.
+        An applied number has been accepted by a majority. Otherwise an operator
+        that resends an edition because answers are lost would have its whole
+        text sent to all other control processes each time.
         """
         accepted = self._state.document.accepted
         try:
@@ -111,11 +112,11 @@
         return codec.edition_answer_from_wire(reply.edition)
 
     def read(self) -> machine.Accepted:
-        """Returns the newest document that any process has accepted.
+        """Returns the newest document that was accepted by any process.
 
         Raises:
-            errors.UnavailableError: No majority confirms it in time, or there
-                is none.
+            errors.UnavailableError: No majority confirmed it in time, or there
+                is no document.
         """
         outcomes.wait(self._log.barrier(), TIMEOUT_S)
         accepted = self._state.document.accepted
@@ -136,4 +137,4 @@
     def __call__(
         self, environ: dict[str, typing.Any], start_response: typing.Any
     ) -> typing.Iterable[bytes]:
-        """Serves one call; see PEP 3333."""
+        """Serves one request; see PEP 3333."""
--- a/cardamombarrow/admin/outcomes.py
+++ b/cardamombarrow/admin/outcomes.py
@@ -1,4 +1,4 @@
-"""Waiting for what a majority makes of a command."""
+"""Waiting for the outcome of a command on the replicated log."""
 
 from concurrent import futures
 
@@ -8,11 +8,11 @@
 
 
 def wait(future: futures.Future[bytes], timeout_s: float) -> bytes:
-    """Returns what became of a command that was handed to the log.
+    """Returns the outcome of a command that was proposed to the log.
 
     Raises:
-        errors.UnavailableError: It was not committed in time; it may be yet,
-            and the same command may be sent again.
+        errors.UnavailableError: It was not committed in time. It may still be
+            committed, and the same command may be sent again.
     """
     try:
         return future.result(timeout=timeout_s)
--- a/cardamombarrow/admin/tests/test_app.py
+++ b/cardamombarrow/admin/tests/test_app.py
@@ -1,4 +1,4 @@
-"""Reads and edits at a control process that has not applied its log yet."""
+"""Reads and edits by a control process that has not applied its log yet."""
 
 from concurrent import futures
 import io
@@ -17,7 +17,7 @@
 
 
 class _LaggingLog(base.Log):
-    """Applies what was accepted before only once a barrier is asked for."""
+    """Applies the earlier commands only when a barrier is requested."""
 
     def __init__(self, applied, commands):
         self._state = applied
@@ -56,7 +56,7 @@
         """Does nothing."""
 
 
-def _ask(kandula_text, method, path, body=b""):
+def _request(kandula_text, method, path, body=b""):
     edition = machine.Edition(3, kandula_text, formats.SECTIONS)
     wire = codec.edition_to_wire(edition)
     command = control_pb2.Command(edition=wire)
@@ -95,22 +95,20 @@
         ),
     ],
 )
-def test_a_process_that_has_just_started_applies_its_log_before_it_refuses(
+def test_a_process_applies_its_log_before_it_authenticates(
     kandula_text, method, path, body
 ):
-    # All control processes were restarted and there is a leader again, but
-    # this one has not applied its log yet, which takes a moment on a busy
-    # machine. It knows no operator's token, and an operator who asked it for
-    # the newest document was refused though all was well.
-    status, content, log = _ask(kandula_text, method, path, body)
+    # All control processes were restarted and have elected a leader, but this
+    # one has not applied its log yet, as it may on a busy machine. It had no
+    # tokens to compare and rejected a valid operator.
+    status, content, log = _request(kandula_text, method, path, body)
     assert status.startswith("200"), content
     assert log.barriers
 
 
-def test_a_read_of_what_is_known_here_does_not_wait_for_the_log(kandula_text):
-    # A status is asked for while there is no leader, too; it must not hang
-    # for as long as an election takes.
-    status, content, log = _ask(kandula_text, "GET", "/v1/status")
+def test_a_status_request_does_not_wait_for_the_log(kandula_text):
+    # Without a leader, a status request must not block until one is elected.
+    status, content, log = _request(kandula_text, "GET", "/v1/status")
     assert status.startswith("503")
     assert content["error"]["code"] == "not_ready"
     assert log.barriers == 0
--- a/cardamombarrow/admin/tests/test_editions.py
+++ b/cardamombarrow/admin/tests/test_editions.py
@@ -1,4 +1,4 @@
-"""Handing in whole documents under the operator's numbers."""
+"""Editions: whole documents with the operator's numbers."""
 
 from concurrent import futures
 
@@ -14,7 +14,7 @@
 
 
 class _Log:
-    """A log whose commands a majority accepts at once, or never."""
+    """A log that commits commands at once, or never if not reachable."""
 
     def __init__(self, applied, *, reachable=True):
         self._state = applied
@@ -29,45 +29,46 @@
         return future
 
 
-def _put(number, text, *, held=0, reachable=True):
+def _put(number, text, *, current=0, reachable=True):
     applied = state.ControlState()
-    if held:
+    if current:
         log = _Log(applied)
-        assert editions.Editions(log, applied).put(held, text, formats.SECTIONS)
+        assert editions.Editions(log, applied).put(
+            current, text, formats.SECTIONS
+        )
     log = _Log(applied, reachable=reachable)
     return editions.Editions(log, applied).put(
         number, text, formats.SECTIONS
     ), log
 
 
-def test_an_edition_above_the_held_one_goes_through_the_log(kandula_text):
-    answer, log = _put(7, kandula_text, held=5)
+def test_an_edition_above_the_current_one_goes_through_the_log(kandula_text):
+    answer, log = _put(7, kandula_text, current=5)
     assert answer.status is machine.EditionStatus.ACCEPTED
     assert (answer.number, log.proposed) == (7, 1)
 
 
 @pytest.mark.parametrize("number", [1, 5])
 @pytest.mark.parametrize("reachable", [True, False])
-def test_an_edition_that_is_overtaken_needs_no_majority(
+def test_an_edition_not_above_the_current_one_needs_no_majority(
     kandula_text, number, reachable
 ):
-    # The operator's answers get lost, so the same edition comes again and
-    # again, to any process. Each time it went whole to every other one, and
-    # it was refused where no majority was in reach, though it was accepted
-    # long ago.
-    answer, log = _put(number, kandula_text, held=5, reachable=reachable)
+    # Answers are lost, so the operator resends the same edition to any process.
+    # Each time its whole text was sent to all other processes, and without a
+    # reachable majority it was rejected although accepted before.
+    answer, log = _put(number, kandula_text, current=5, reachable=reachable)
     assert answer.status is machine.EditionStatus.KEPT
     assert (answer.number, log.proposed) == (5, 0)
 
 
-def test_an_invalid_edition_costs_no_round():
+def test_an_invalid_edition_is_not_proposed():
     answer, log = _put(7, "[no such")
     assert answer.status is machine.EditionStatus.INVALID
     assert answer.mistakes
     assert log.proposed == 0
 
 
-def test_an_edition_that_no_majority_takes_may_be_sent_again(
+def test_an_edition_without_a_majority_is_reported_as_unavailable(
     kandula_text, monkeypatch
 ):
     monkeypatch.setattr(editions, "TIMEOUT_S", 0.01)
@@ -75,10 +76,10 @@
         _put(7, kandula_text, reachable=False)
 
 
-def test_a_command_that_cannot_be_unpacked_stops_no_voter():
-    # A peer of another version packs a text in a way that this one does not
-    # know. Raised while it is applied, the error would stop every voter at
-    # the same entry, for good.
+def test_a_command_that_cannot_be_unpacked_does_not_stop_a_voter():
+    # A peer of another version packs a text in an unknown way. An error raised
+    # while the command is applied would stop every voter at the same log
+    # entry permanently.
     applied = state.ControlState()
     wire = control_pb2.EditionCommand(number=1, packed_text=b"no")
     command = control_pb2.Command(edition=wire)
--- a/cardamombarrow/cli/core.py
+++ b/cardamombarrow/cli/core.py
@@ -1,4 +1,4 @@
-"""`cardamombarrow`: commands, exit codes, and what is said on errors."""
+"""The command `cardamombarrow`: its subcommands and error messages."""
 
 import argparse
 from collections import abc
@@ -18,19 +18,19 @@
 __all__ = ["run"]
 
 _NEXT_STEPS = {
-    errors.ErrorKind.ENDPOINT_UNREACHED: "Name a control process that runs "
-    "with --url, or set CARDAMOMBARROW_URLS.",
+    errors.ErrorKind.ENDPOINT_UNREACHED: "Give the URL of a running "
+    "control process with --url, or set CARDAMOMBARROW_URLS.",
     errors.ErrorKind.UNAUTHENTICATED: "Give an operator token with --token, "
     "or set CARDAMOMBARROW_TOKEN.",
-    errors.ErrorKind.NO_QUORUM: "Look at `cardamombarrow status`; when a "
-    "majority of the voters is reached again, send the edit again with the "
+    errors.ErrorKind.NO_QUORUM: "Check `cardamombarrow status`; when a "
+    "majority of the voters is reachable again, resend the edit with the "
     "same --edit-id.",
     errors.ErrorKind.NOT_FOUND: "See `cardamombarrow --help`.",
 }
 
 
 def run(arguments: list[str]) -> int:
-    """Parses the arguments and carries out the command."""
+    """Parses the arguments and runs the command."""
     parsed = _parser().parse_args(arguments)
     command: abc.Callable[[argparse.Namespace], int] = parsed.command
     try:
@@ -54,7 +54,7 @@
         description="Routes language-model traffic by service levels.",
         epilog="Exit codes: 0 done, 1 failed, 2 wrong usage, 3 invalid "
         "settings or document, 4 conflict with a newer edit, 5 accepted but "
-        "not yet in force everywhere, 6 a promise was not kept.",
+        "not yet in force everywhere, 6 a service-level target was missed.",
     )
     parser.add_argument("--version", action="version", version=__version__)
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
@@ -69,8 +69,8 @@
 
 def _add_roles(commands: argparse._SubParsersAction) -> None:
     for role, text in (
-        ("entry", "take callers' requests"),
-        ("control", "keep the document and the ledger"),
+        ("entry", "run an entry, which serves callers' requests"),
+        ("control", "run a control process, which stores document and ledger"),
     ):
         command = commands.add_parser(role, help=text)
         command.add_argument(
@@ -110,40 +110,52 @@
     _add_access(diff)
     diff.add_argument("file", type=pathlib.Path)
     diff.set_defaults(command=operate.diff)
-    edit = actions.add_parser("edit", help="replace sections by those of FILE")
+    edit = actions.add_parser(
+        "edit", help="replace sections by those of a file"
+    )
     _add_access(edit)
     edit.add_argument("file", type=pathlib.Path, help="INI file of sections")
     edit.add_argument("--base", type=int, help="revision it was made from")
-    edit.add_argument("--edit-id", help="the same when sent again")
+    edit.add_argument(
+        "--edit-id", help="id of the edit; use the same to resend it"
+    )
     edit.add_argument("--remove", action="append", default=[], metavar="NAME")
     edit.add_argument("--wait-s", type=float, default=0.0, metavar="SECONDS")
     edit.add_argument("--author", default=os.environ.get("USER", ""))
     edit.set_defaults(command=operate.edit)
     push = actions.add_parser("push", help="replace the whole document")
     _add_access(push)
-    push.add_argument("file", type=pathlib.Path, help="INI file, whole")
+    push.add_argument(
+        "file", type=pathlib.Path, help="INI file with the whole document"
+    )
     push.add_argument(
         "--number",
         type=int,
         required=True,
-        help="the operator's own number; the highest holds",
+        help="the operator's number; the highest one is in force",
     )
     push.set_defaults(command=operate.push)
-    history = actions.add_parser("history", help="accepted edits")
+    history = actions.add_parser("history", help="print the accepted edits")
     _add_access(history)
     history.set_defaults(command=operate.history)
 
 
 def _add_state(commands: argparse._SubParsersAction) -> None:
-    status = commands.add_parser("status", help="what each instance knows")
+    status = commands.add_parser(
+        "status", help="print the state of the log and of each instance"
+    )
     _add_access(status)
     status.set_defaults(command=operate.status)
     instance = commands.add_parser(
-        "instance", help="what one entry believes, and how old it is"
+        "instance", help="print the state of one entry"
+    )
+    instance.add_argument(
+        "address", help="readiness address of the entry, host:port"
     )
-    instance.add_argument("address", help="its readiness address, host:port")
     instance.set_defaults(command=operate.instance)
-    ledger = commands.add_parser("ledger", help="what became of a key")
+    ledger = commands.add_parser(
+        "ledger", help="print the state of an idempotency key"
+    )
     _add_access(ledger)
     ledger.add_argument("workspace")
     ledger.add_argument("key")
--- a/cardamombarrow/cli/duties.py
+++ b/cardamombarrow/cli/duties.py
@@ -1,4 +1,4 @@
-"""``cardamombarrow usage`` and ``capacity``: what one process does for all."""
+"""``cardamombarrow usage`` and ``capacity``: work of the duties' holder."""
 
 import argparse
 from collections import abc
@@ -16,35 +16,33 @@
 def add_parser(commands: argparse._SubParsersAction) -> None:
     """Adds both commands to the parser."""
     for name, text, show in (
-        ("usage", "what was metered and reported, by window", _usage_lines),
-        ("capacity", "endpoints ordered, at the holder", _capacity_lines),
+        ("usage", "print the usage reports by window", _usage_lines),
+        ("capacity", "print the orders of endpoints", _capacity_lines),
     ):
         command = commands.add_parser(name, help=text)
         command.add_argument(
             "address", help="metrics address of a control process, host:port"
         )
-        command.add_argument(
-            "--json", action="store_true", help="print JSON, for programs"
-        )
-        command.set_defaults(command=_print, show=show)
+        command.add_argument("--json", action="store_true", help="print JSON")
+        command.set_defaults(command=_run, show=show)
 
 
-def _print(arguments: argparse.Namespace) -> int:
-    found = _fetch(arguments.address)
+def _run(arguments: argparse.Namespace) -> int:
+    duties = _fetch(arguments.address)
     if arguments.json:
-        print(json.dumps(found, indent=2))
+        print(json.dumps(duties, indent=2))
         return 0
-    print(f"holder {found['holder'] or 'nobody'}, token {found['fencing']}")
-    for line in arguments.show(found):
+    print(f"holder {duties['holder'] or 'nobody'}, token {duties['fencing']}")
+    for line in arguments.show(duties):
         print(line)
     return 0
 
 
 def _fetch(address: str) -> dict[str, typing.Any]:
-    """Asks a control process.
+    """Fetches the duties from a control process.
 
     Raises:
-        errors.EndpointError: It does not answer as one.
+        errors.EndpointError: The answer is not that of a control process.
     """
     reply = http_get.fetch(f"http://{address}/duties", timeout_s=TIMEOUT_S)
     try:
@@ -52,14 +50,14 @@
     except ValueError:
         raise errors.EndpointError(
             errors.ErrorKind.ENDPOINT_FAILED,
-            f"{address} is no metrics address of a control process",
+            f"{address} is not the metrics address of a control process",
             sent=True,
         ) from None
 
 
-def _usage_lines(found: dict[str, typing.Any]) -> abc.Iterator[str]:
+def _usage_lines(duties: dict[str, typing.Any]) -> abc.Iterator[str]:
     yield f"{'window':>12}{'requests':>10}{'workspaces':>12}{'token':>7}  taken"
-    for report in found["reports"]:
+    for report in duties["reports"]:
         taken = "yes" if report["taken"] else "NO"
         yield (
             f"{report['window']:>12}{report['requests']:>10}"
@@ -67,12 +65,12 @@
         )
 
 
-def _capacity_lines(found: dict[str, typing.Any]) -> abc.Iterator[str]:
-    if not found["orders"]:
-        yield "no orders known here; ask the holder"
+def _capacity_lines(duties: dict[str, typing.Any]) -> abc.Iterator[str]:
+    if not duties["orders"]:
+        yield "no orders in this process; try the holder"
         return
     yield f"{'service':<20}{'domain':<20}{'kind':<9}{'count':>6}  outcome"
-    for order in found["orders"]:
+    for order in duties["orders"]:
         kind = "spot" if order["spot"] else "regular"
         yield (
             f"{order['service']:<20}{order['domain']:<20}{kind:<9}"
--- a/cardamombarrow/cli/exit_codes.py
+++ b/cardamombarrow/cli/exit_codes.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the command's exit code means."""
+    """Meaning of the exit codes."""
 
     DONE = 0
     FAILED = 1
--- a/cardamombarrow/cli/member.py
+++ b/cardamombarrow/cli/member.py
@@ -1,4 +1,4 @@
-"""``cardamombarrow member``: who keeps the replicated log."""
+"""``cardamombarrow member``: the members of the replicated log."""
 
 import argparse
 from collections import abc
@@ -12,13 +12,13 @@
 _HELP = {
     membership.ChangeKind.ADD_LEARNER: (
         "add",
-        "let a control process in as a learner; it catches up, without a vote",
+        "add a control process as a learner; it catches up, without a vote",
     ),
     membership.ChangeKind.PROMOTE: (
         "promote",
         "make a learner that has caught up a voter",
     ),
-    membership.ChangeKind.REMOVE: ("remove", "take a voter or learner out"),
+    membership.ChangeKind.REMOVE: ("remove", "remove a voter or learner"),
 }
 
 
@@ -27,15 +27,19 @@
     add_access: abc.Callable[[argparse.ArgumentParser], None],
 ) -> None:
     """Adds the command to the parser."""
-    member = commands.add_parser("member", help="who keeps the log")
+    member = commands.add_parser(
+        "member", help="list and change the members of the log"
+    )
     actions = member.add_subparsers(required=True, metavar="ACTION")
-    listing = actions.add_parser("list", help="voters, learners, applicants")
+    listing = actions.add_parser(
+        "list", help="list voters, learners and applicants"
+    )
     add_access(listing)
     listing.set_defaults(command=_list)
     for kind, (name, text) in _HELP.items():
         action = actions.add_parser(name, help=text)
         add_access(action)
-        action.add_argument("member", help="instance id, or whole identity")
+        action.add_argument("member", help="instance id, or full identity")
         action.set_defaults(command=_change, kind=kind)
 
 
--- a/cardamombarrow/cli/operate.py
+++ b/cardamombarrow/cli/operate.py
@@ -1,4 +1,4 @@
-"""Commands that talk to the administration API."""
+"""Commands that call the administration API."""
 
 import argparse
 import difflib
@@ -24,15 +24,15 @@
     "status",
 ]
 
-WAIT_LOOK_S = 0.1
+WAIT_POLL_S = 0.1
 INSTANCE_TIMEOUT_S = 5.0
 
 _NEXT_STEPS = {
-    "conflict": "Others changed these sections since your base revision: put "
-    "your change into the text shown and send it as a new edit.",
-    "invalid": "Mend the mistakes and send it as a new edit.",
-    "forbidden": "Ask the owner of these sections.",
-    "id_reused": "This edit id belongs to another edit: leave out --edit-id.",
+    "conflict": "These sections changed after your base revision: apply your "
+    "change to the text shown and send it as a new edit.",
+    "invalid": "Correct the mistakes and send a new edit.",
+    "forbidden": "Only their owner may edit these sections.",
+    "id_reused": "This edit id belongs to another edit: omit --edit-id.",
 }
 
 
@@ -67,7 +67,7 @@
 
 
 def edit(arguments: argparse.Namespace) -> int:
-    """Replaces sections; waits until the edit is in force where asked."""
+    """Replaces sections; with --wait-s, waits until the edit is in force."""
     admin = _client(arguments)
     sections = text.split(arguments.file.read_text(encoding="utf-8"))
     replacements = {
@@ -80,8 +80,8 @@
     if base is None:
         base = admin.get("/v1/document", fresh="yes")["revision"]
     edit_id = arguments.edit_id or str(uuid.uuid4())
-    # Printed before the answer is known: an operator who loses the answer
-    # sends the edit again under this id, and it is not done twice.
+    # Printed before the edit is sent: if the answer is lost, the operator can
+    # resend the edit with this id, and it is not applied twice.
     print(f"edit id {edit_id}", file=sys.stderr)
     answer = admin.edit(
         {
@@ -102,7 +102,7 @@
 
 
 def push(arguments: argparse.Namespace) -> int:
-    """Replaces the whole document under the operator's own number."""
+    """Replaces the whole document by an edition with the given number."""
     whole = arguments.file.read_text(encoding="utf-8")
     answer = _client(arguments).push(arguments.number, whole)
     _print(answer)
@@ -112,7 +112,7 @@
 
 
 def instance(arguments: argparse.Namespace) -> int:
-    """Prints what an entry believes, and how old it is."""
+    """Prints the state of an entry and the age of its data."""
     reply = http_get.fetch(
         f"http://{arguments.address}/v1/instance", timeout_s=INSTANCE_TIMEOUT_S
     )
@@ -135,7 +135,7 @@
         if time.monotonic() >= deadline_s:
             print(f"not yet in force at: {', '.join(late)}", file=sys.stderr)
             return exit_codes.ExitCode.NOT_IN_FORCE
-        time.sleep(WAIT_LOOK_S)
+        time.sleep(WAIT_POLL_S)
 
 
 def history(arguments: argparse.Namespace) -> int:
@@ -145,14 +145,14 @@
 
 
 def status(arguments: argparse.Namespace) -> int:
-    """Prints what each control process and instance knows."""
+    """Prints the state of the log and the revision applied by each instance."""
     admin = _client(arguments)
     _print({**admin.get("/v1/status"), **admin.get("/v1/in-force")})
     return 0
 
 
 def ledger(arguments: argparse.Namespace) -> int:
-    """Prints what became of a key."""
+    """Prints the state of an idempotency key."""
     _print(
         _client(arguments).get(
             "/v1/ledger", workspace=arguments.workspace, key=arguments.key
--- a/cardamombarrow/cli/report.py
+++ b/cardamombarrow/cli/report.py
@@ -1,4 +1,4 @@
-"""`cardamombarrow report`: promises kept, from the entries' logs."""
+"""`cardamombarrow report`: attained service levels, from entries' logs."""
 
 import argparse
 from collections import abc
@@ -18,21 +18,21 @@
 def add_parser(commands: argparse._SubParsersAction) -> None:
     """Adds the command to the parser."""
     command = commands.add_parser(
-        "report", help="promises kept, worked out from entries' logs"
+        "report", help="compute attained service levels from entries' logs"
     )
     command.add_argument("log", type=pathlib.Path, nargs="*", metavar="LOG")
     command.add_argument(
         "--document",
         type=pathlib.Path,
         metavar="FILE",
-        help="document whose promises are compared; without it only what "
-        "happened is shown",
+        help="document with the targets to compare with; without it only the "
+        "measured values are shown",
     )
     command.set_defaults(command=report)
 
 
 def report(arguments: argparse.Namespace) -> int:
-    """Prints a row per class; fails where a promise was not kept."""
+    """Prints a row per class; fails if a class missed its target."""
     with contextlib.ExitStack() as stack:
         files = [
             stack.enter_context(path.open(encoding="utf-8", errors="replace"))
@@ -45,12 +45,12 @@
         classes = parsing.parse(text).classes
     for line in _table(reports, classes):
         print(line)
-    broken = [
+    missed = [
         class_id
         for class_id, item in reports.items()
         if class_id in classes and not item.kept(classes[class_id])
     ]
-    return exit_codes.ExitCode.PROMISE_BROKEN if broken else 0
+    return exit_codes.ExitCode.PROMISE_BROKEN if missed else 0
 
 
 def _table(
@@ -63,13 +63,13 @@
         f"{'useful':>9}{'wasted':>8}"
     )
     for class_id, item in sorted(reports.items()):
-        sold = classes.get(class_id)
+        targets = classes.get(class_id)
         share = item.attainment_share or 0.0
         yield (
             f"{class_id:<20}{item.answered:>9}{item.ended['done']:>8}"
             f"{item.refused.total():>8}{share:>10.2%}"
-            f"{sold.attainment_share if sold else '-':>7}"
-            f"{('yes' if item.kept(sold) else 'NO') if sold else '-':>6}"
+            f"{targets.attainment_share if targets else '-':>7}"
+            f"{('yes' if item.kept(targets) else 'NO') if targets else '-':>6}"
             f"{item.first_token_ms.get_value_at_percentile(95):>8}"
             f"{item.useful_tokens:>9}{item.wasted_tokens:>8}"
         )
--- a/cardamombarrow/cli/serve.py
+++ b/cardamombarrow/cli/serve.py
@@ -1,4 +1,4 @@
-"""Commands that run a role or check its settings."""
+"""Commands that run a role or check settings and documents."""
 
 import argparse
 
@@ -18,8 +18,8 @@
 
 def entry(arguments: argparse.Namespace) -> int:
     """Runs an entry."""
-    # Imported here: an entry that loaded the control process's modules too
-    # would hold their memory on each instance.
+    # Imported here, as the control process's modules would take memory in each
+    # entry.
     with loading.modules():
         from cardamombarrow.entry import core as entry_core
 
--- a/cardamombarrow/cli/tests/test_core.py
+++ b/cardamombarrow/cli/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, and what is said on errors."""
+"""The command line: exit codes and error messages."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 from tools import deployment
 
 
-def test_a_good_document_passes_the_check(tmp_path, kandula_text, capsys):
+def test_a_valid_document_passes_the_check(tmp_path, kandula_text, capsys):
     path = tmp_path / "document.ini"
     path.write_text(kandula_text)
     assert core.run(["check", "--document", str(path)]) == 0
     assert "valid document" in capsys.readouterr().out
 
 
-def test_a_bad_document_is_told_line_by_line(tmp_path, capsys):
+def test_mistakes_of_a_document_are_reported_by_line(tmp_path, capsys):
     path = tmp_path / "document.ini"
     path.write_text("[tier:gold]\nrank = first\n")
     code = core.run(["check", "--document", str(path)])
@@ -22,14 +22,14 @@
     assert "line 2: [tier:gold] rank" in capsys.readouterr().err
 
 
-def test_a_missing_settings_file_is_told(tmp_path, capsys):
+def test_a_missing_settings_file_is_reported(tmp_path, capsys):
     path = tmp_path / "none.ini"
     code = core.run(["entry", "--settings", str(path)])
     assert code == exit_codes.ExitCode.INVALID
     assert "cannot be read" in capsys.readouterr().err
 
 
-def test_no_control_process_names_the_next_step(capsys):
+def test_an_unreachable_control_process_suggests_the_next_step(capsys):
     port = deployment.free_ports(1)[0]
     url = f"http://127.0.0.1:{port}"
     code = core.run(["status", "--url", url, "--token", "x"])
--- a/cardamombarrow/cli/tests/test_duties.py
+++ b/cardamombarrow/cli/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""The commands on usage and endpoints, against a metrics server."""
+"""The commands `usage` and `capacity`, against a metrics server."""
 
 import json
 
@@ -35,7 +35,7 @@
     server.stop()
 
 
-def test_usage_shows_windows_and_who_reported(address, capsys):
+def test_usage_shows_holder_and_windows(address, capsys):
     assert core.run(["usage", address]) == 0
     lines = capsys.readouterr().out.splitlines()
     assert lines[0] == "holder core-1, token 1"
@@ -48,12 +48,12 @@
     assert lines[2].split() == ["writer", "north", "spot", "4", "taken"]
 
 
-def test_json_is_for_programs(address, capsys):
+def test_json_output(address, capsys):
     assert core.run(["usage", address, "--json"]) == 0
     found = json.loads(capsys.readouterr().out)
     assert found["reports"][0]["counts"] == {"trails": 3, "clubs": 1}
 
 
-def test_an_address_that_is_not_one_is_told(capsys):
+def test_an_unreachable_address_is_reported(capsys):
     assert core.run(["usage", "127.0.0.1:1"]) == 1
     assert "127.0.0.1:1" in capsys.readouterr().err
--- a/cardamombarrow/conftest.py
+++ b/cardamombarrow/conftest.py
@@ -9,7 +9,7 @@
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 
-# The same examples in every run: a verdict must not depend on luck.
+# The same examples in every run, so that results are reproducible.
 hypothesis.settings.register_profile(
     "fixed", derandomize=True, deadline=None, database=None
 )
