--- a/cardamombarrow/document/parsing.py
+++ b/cardamombarrow/document/parsing.py
@@ -19,7 +19,7 @@
 __all__ = ["parse"]
 
 _BOOLEANS = configparser.ConfigParser.BOOLEAN_STATES
-_KINDS = {
+_SECTION_CLASSES = {
     "tier": schema.Tier,
     "class": schema.RequestClass,
     "workspace": schema.Workspace,
@@ -31,7 +31,7 @@
     "weight-store": schema.WeightStore,
     "limits": schema.CallerLimits,
 }
-_NAMELESS = ("policies", "weight-store", "limits")
+_KINDS_WITHOUT_NAME = ("policies", "weight-store", "limits")
 _ENDPOINTS_PREFIX = "endpoints."
 
 MAX_CACHED_TEXTS = 2
@@ -55,7 +55,7 @@
         errors.ConfigError: With every mistake, each with its line.
     """
     mistakes: list[str] = []
-    found: dict[str, dict] = {kind: {} for kind in _KINDS}
+    found: dict[str, dict] = {kind: {} for kind in _SECTION_CLASSES}
     lines: dict[str, int] = {}
     for section in text_module.split(text):
         label = f"[{section.name}]"
@@ -132,11 +132,11 @@
         reason = "text before the first section"
         return _ParsedSection(None, (_Mistake(0, "", reason),) if stray else ())
     kind, _, identity = name.partition(":")
-    cls = _KINDS.get(kind)
-    if cls is None or bool(identity) == (kind in _NAMELESS):
+    cls = _SECTION_CLASSES.get(kind)
+    if cls is None or bool(identity) == (kind in _KINDS_WITHOUT_NAME):
         known = ", ".join(
-            f"[{kind}]" if kind in _NAMELESS else f"[{kind}:name]"
-            for kind in _KINDS
+            f"[{kind}]" if kind in _KINDS_WITHOUT_NAME else f"[{kind}:name]"
+            for kind in _SECTION_CLASSES
         )
         reason = f"unknown section; known: {known}"
         return _ParsedSection(None, (_Mistake(0, "", reason),))
--- a/cardamombarrow/document/rules.py
+++ b/cardamombarrow/document/rules.py
@@ -99,7 +99,7 @@
         "service": document.services,
         "weight-store": {"": document.weight_store},
     }
-    for (kind, key), (low, high) in _LIMITS.items():
+    for (kind, key), (low, high) in _VALUE_RANGES.items():
         for name, item in groups[kind].items():
             value = getattr(item, key)
             if not low <= value <= high:
@@ -107,7 +107,7 @@
                 yield f"{kind}:{name}" if name else kind, reason
 
 
-_LIMITS: dict[tuple[str, str], tuple[float, float]] = {
+_VALUE_RANGES: dict[tuple[str, str], tuple[float, float]] = {
     ("tier", "rank"): (0, 15),
     ("tier", "reserved_share"): (0.0, MOST_RESERVED_SHARE),
     ("class", "target_first_token_s"): (0.01, 86_400),
@@ -124,7 +124,7 @@
 
 def limits_of(kind: str, key: str) -> tuple[float, float] | None:
     """Returns minimum and maximum of a key, or None if it has no range."""
-    return _LIMITS.get((kind, key))
+    return _VALUE_RANGES.get((kind, key))
 
 
 def _tiers(document: schema.Document) -> abc.Iterator[Violation]:
--- a/cardamombarrow/kernel/http.py
+++ b/cardamombarrow/kernel/http.py
@@ -86,7 +86,7 @@
     )
     tls_key: str = settings.setting("", help="PEM private key")
 
-    def place(self) -> tuple[str, int]:
+    def listen_address(self) -> tuple[str, int]:
         """Returns host and port to listen on."""
         if not self.address:
             return self.host, self.port
@@ -121,7 +121,7 @@
             context.load_cert_chain(
                 pathlib.Path(http.tls_certificate), http.tls_key or None
             )
-        host, port = http.place()
+        host, port = http.listen_address()
         super().__init__(host, port, app, handler=connection_module.Handler)
         # The handshake runs in the connection's task: in the accepting thread,
         # one silent client would delay all others.
--- a/cardamombarrow/kernel/lifecycle.py
+++ b/cardamombarrow/kernel/lifecycle.py
@@ -32,7 +32,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-SIGNAL_LOOK_S = 0.5
+SIGNAL_POLL_S = 0.5
 """Longest delay of a signal that does not wake the main thread.
 
 The interpreter records a signal and calls its handler once the main thread
@@ -69,7 +69,7 @@
             for part in self._parts:
                 part.start()
                 started.append(part)
-            while not self._stop.wait(SIGNAL_LOOK_S):
+            while not self._stop.wait(SIGNAL_POLL_S):
                 pass
         finally:
             for part in reversed(started):
--- a/cardamombarrow/kernel/registry.py
+++ b/cardamombarrow/kernel/registry.py
@@ -34,10 +34,10 @@
     """
 
     def register(cls: type[_T]) -> type[_T]:
-        taken = _PLUGINS.setdefault(slot, {})
-        if taken.get(name, cls) is not cls:
+        registered = _PLUGINS.setdefault(slot, {})
+        if registered.get(name, cls) is not cls:
             raise ValueError(f"{slot} plug-in {name!r} is registered twice")
-        taken[name] = cls
+        registered[name] = cls
         return cls
 
     return register
--- a/cardamombarrow/kernel/reloading.py
+++ b/cardamombarrow/kernel/reloading.py
@@ -1,7 +1,7 @@
 """Applies a changed settings file while the process runs.
 
-The file is read every `LOOK_S` seconds, and at once after SIGHUP, since not
-every change comes with a signal. A file that can't be read, or that has
+The file is read every `POLL_INTERVAL_S` seconds, and at once after SIGHUP, since
+not every change comes with a signal. A file that can't be read, or that has
 mistakes, changes nothing.
 """
 
@@ -18,7 +18,7 @@
 
 __all__ = ["Reloader", "changed_keys"]
 
-LOOK_S = 2.0
+POLL_INTERVAL_S = 2.0
 
 _T = typing.TypeVar("_T")
 
@@ -83,7 +83,7 @@
 
     def _run(self) -> None:
         while True:
-            by_request = self._requested.wait(LOOK_S)
+            by_request = self._requested.wait(POLL_INTERVAL_S)
             self._requested.clear()
             if self._stopped:
                 return
