--- a/cardamombarrow/__main__.py
+++ b/cardamombarrow/__main__.py
@@ -13,7 +13,7 @@
     Returns:
         The exit code, as documented in ``docs/cli.md``.
     """
-    with loading.modules():
+    with loading.gc_paused():
         from cardamombarrow.cli import core
 
     return core.run(sys.argv[1:])
--- a/cardamombarrow/cli/serve.py
+++ b/cardamombarrow/cli/serve.py
@@ -20,7 +20,7 @@
     """Runs an entry."""
     # Imported here, as the control process's modules would take memory in each
     # entry.
-    with loading.modules():
+    with loading.gc_paused():
         from cardamombarrow.entry import core as entry_core
 
     path = arguments.settings
@@ -30,7 +30,7 @@
 
 def control(arguments: argparse.Namespace) -> int:
     """Runs a control process."""
-    with loading.modules():
+    with loading.gc_paused():
         from cardamombarrow.control import core as control_core
 
     path = arguments.settings
--- a/cardamombarrow/control/core.py
+++ b/cardamombarrow/control/core.py
@@ -396,4 +396,6 @@
         reloader = reloading.Reloader(path, settings, {})
         parts.append(reloader)
     logs.event("control starts", port=web.port, voter=log.me.id)
-    lifecycle.Process(parts, reloader.ask if reloader else None).run()
+    lifecycle.Process(
+        parts, reloader.request_reload if reloader else None
+    ).run()
--- a/cardamombarrow/endpoints/transfer.py
+++ b/cardamombarrow/endpoints/transfer.py
@@ -240,7 +240,9 @@
             if self._connection.head is None
             else errors.ErrorKind.ANSWER_CUT
         )
-        return errors.EndpointError(kind, text, sent=True, broke=True)
+        return errors.EndpointError(
+            kind, text, sent=True, connection_broke=True
+        )
 
     def _endpoint_error(
         self, kind: errors.ErrorKind, detail: str
--- a/cardamombarrow/entry/core.py
+++ b/cardamombarrow/entry/core.py
@@ -244,4 +244,6 @@
             path, settings, {"peers.controls": peering.on_settings}
         )
         parts.insert(0, reloader)
-    lifecycle.Process(parts, reloader.ask if reloader else None).run()
+    lifecycle.Process(
+        parts, reloader.request_reload if reloader else None
+    ).run()
--- a/cardamombarrow/entry/crashes.py
+++ b/cardamombarrow/entry/crashes.py
@@ -61,7 +61,7 @@
         """Learns how a request failed; call before its slot is released."""
         if error.kind is errors.ErrorKind.ENDPOINT_UNREACHED:
             self._on_unreached(endpoint, job)
-        elif error.kind in _DEATHS and error.broke:
+        elif error.kind in _DEATHS and error.connection_broke:
             self._on_broken(endpoint, job, kind)
 
     def _on_unreached(
--- a/cardamombarrow/kernel/errors.py
+++ b/cardamombarrow/kernel/errors.py
@@ -178,8 +178,8 @@
     Attributes:
         sent: Whether any byte of the request may have reached the endpoint.
         delivered: Whether any byte of the answer went to the caller.
-        broke: Whether the connection broke, as it does if the endpoint
-            crashes.
+        connection_broke: Whether the connection broke, as it does if the
+            endpoint crashes.
     """
 
     def __init__(
@@ -189,7 +189,7 @@
         *,
         sent: bool,
         delivered: bool = False,
-        broke: bool = False,
+        connection_broke: bool = False,
         retry_after_s: float | None = None,
     ):
         super().__init__(
@@ -200,7 +200,7 @@
         )
         self.sent = sent
         self.delivered = delivered
-        self.broke = broke
+        self.connection_broke = connection_broke
 
 
 class UnavailableError(RouterError):
--- a/cardamombarrow/kernel/loading.py
+++ b/cardamombarrow/kernel/loading.py
@@ -4,11 +4,11 @@
 import contextlib
 import gc
 
-__all__ = ["modules"]
+__all__ = ["gc_paused"]
 
 
 @contextlib.contextmanager
-def modules() -> abc.Iterator[None]:
+def gc_paused() -> abc.Iterator[None]:
     """Pauses the garbage collector while the body imports modules.
 
     Objects of modules live until the process ends, so collecting them frees
--- a/cardamombarrow/kernel/reloading.py
+++ b/cardamombarrow/kernel/reloading.py
@@ -1,6 +1,6 @@
 """Applies a changed settings file while the process runs.
 
-The file is read every `POLL_INTERVAL_S` seconds, and at once after SIGHUP, since
+The file is read every `POLL_INTERVAL_S` seconds, and at once after SIGHUP, as
 not every change comes with a signal. A file that can't be read, or that has
 mistakes, changes nothing.
 """
@@ -77,7 +77,7 @@
         self._requested.set()
         self._thread.join()
 
-    def ask(self) -> None:
+    def request_reload(self) -> None:
         """Requests a reload at once; safe in a signal handler."""
         self._requested.set()
 
--- a/cardamombarrow/kernel/tests/test_loading.py
+++ b/cardamombarrow/kernel/tests/test_loading.py
@@ -14,7 +14,7 @@
 
 
 def test_the_collector_is_paused_and_resumed():
-    with loading.modules():
+    with loading.gc_paused():
         assert not gc.isenabled()
     assert gc.isenabled()
     assert gc.get_freeze_count()
@@ -22,6 +22,6 @@
 
 def test_the_collector_is_resumed_if_an_import_fails():
     # Otherwise the process would never collect garbage again.
-    with pytest.raises(ImportError), loading.modules():
+    with pytest.raises(ImportError), loading.gc_paused():
         raise ImportError("no such module")
     assert gc.isenabled()
--- a/cardamombarrow/kernel/tests/test_reloading.py
+++ b/cardamombarrow/kernel/tests/test_reloading.py
@@ -51,7 +51,7 @@
 
 def test_a_change_is_applied_on_request(path, applied, reloader):
     path.write_text("[part]\nname = x\nnames = a, b\nsize = 2\n")
-    reloader.ask()
+    reloader.request_reload()
     _wait(applied, 1)
     assert applied == [("a", "b")]
 
@@ -60,11 +60,11 @@
     # The file is read while it is being written, or has a mistake. The
     # process continues with its current settings.
     path.write_text("[part]\nname = x\nsize = many\n")
-    reloader.ask()
+    reloader.request_reload()
     path.unlink()
-    reloader.ask()
+    reloader.request_reload()
     path.write_text("[part]\nname = x\nnames = c\n")
-    reloader.ask()
+    reloader.request_reload()
     _wait(applied, 1)
     assert applied == [("c",)]
 
