--- a/benchmarks/many_entries.py
+++ b/benchmarks/many_entries.py
@@ -14,7 +14,7 @@
 from benchmarks import fake_engine
 from benchmarks import patterns
 from benchmarks import scenarios
-from cardamombarrow.document import routed
+from cardamombarrow.document import from_routes
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
@@ -78,7 +78,7 @@
         ids.TierId(f"rank-{each.rank}"): schema.Tier(
             ids.TierId(f"rank-{each.rank}"),
             each.rank,
-            routed.RESERVED_SHARE if each.rank else 0.0,
+            from_routes.RESERVED_SHARE if each.rank else 0.0,
         )
         for each in KINDS
     }
@@ -126,7 +126,7 @@
         {service.service: service},
         {},
         {},
-        routed.POLICIES,
+        from_routes.POLICIES,
         routes=routes,
     )
 
--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -18,7 +18,7 @@
 from cardamombarrow.decisions import core
 from cardamombarrow.decisions import messages
 from cardamombarrow.decisions import rate_limits
-from cardamombarrow.document import routed
+from cardamombarrow.document import from_routes
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
@@ -66,18 +66,18 @@
 def _document() -> schema.Document:
     classes = [
         schema.RequestClass(
-            ids.ClassId("chat"), routed.tier_id(0), TARGET_S, 10.0
+            ids.ClassId("chat"), from_routes.tier_id(0), TARGET_S, 10.0
         )
     ]
     service = schema.Service(_SERVICE, schema.ServiceKind.ENGINE, 64)
-    return routed.build(
-        routed.Parts(
+    return from_routes.build(
+        from_routes.ParsedRoutes(
             services=[service],
             routes=[],
             classes=classes,
             ranks={"chat": 0},
             workspaces=[],
-            open_to_all=True,
+            allow_anonymous=True,
             limits=schema.CallerLimits(),
         )
     )
--- a/cardamombarrow/admin/editions.py
+++ b/cardamombarrow/admin/editions.py
@@ -98,7 +98,7 @@
         else:
             if number > accepted.number:
                 return None
-            status = machine.EditionStatus.KEPT
+            status = machine.EditionStatus.NOT_NEWER
             mistakes = ()
         return machine.EditionAnswer(
             status, accepted.revision, accepted.number, mistakes
@@ -111,7 +111,7 @@
         reply = codec.raise_failure(control_pb2.Reply.FromString(raw))
         return codec.edition_answer_from_wire(reply.edition)
 
-    def read(self) -> machine.Accepted:
+    def read(self) -> machine.AcceptedDocument:
         """Returns the newest document that was accepted by any process.
 
         Raises:
--- a/cardamombarrow/admin/tests/test_editions.py
+++ b/cardamombarrow/admin/tests/test_editions.py
@@ -57,7 +57,7 @@
     # Each time its whole text was sent to all other processes, and without a
     # reachable majority it was rejected although accepted before.
     answer, log = _put(number, kandula_text, current=5, reachable=reachable)
-    assert answer.status is machine.EditionStatus.KEPT
+    assert answer.status is machine.EditionStatus.NOT_NEWER
     assert (answer.number, log.proposed) == (5, 0)
 
 
--- a/cardamombarrow/cli/exit_codes.py
+++ b/cardamombarrow/cli/exit_codes.py
@@ -14,4 +14,4 @@
     INVALID = 3
     CONFLICT = 4
     NOT_IN_FORCE = 5
-    PROMISE_BROKEN = 6
+    TARGET_MISSED = 6
--- a/cardamombarrow/cli/report.py
+++ b/cardamombarrow/cli/report.py
@@ -50,7 +50,7 @@
         for class_id, item in reports.items()
         if class_id in classes and not item.kept(classes[class_id])
     ]
-    return exit_codes.ExitCode.PROMISE_BROKEN if missed else 0
+    return exit_codes.ExitCode.TARGET_MISSED if missed else 0
 
 
 def _table(
--- a/cardamombarrow/decisions/tests/test_first_event.py
+++ b/cardamombarrow/decisions/tests/test_first_event.py
@@ -12,7 +12,7 @@
 from cardamombarrow.decisions import first_event
 from cardamombarrow.decisions import kept
 from cardamombarrow.decisions import messages
-from cardamombarrow.document import routed
+from cardamombarrow.document import from_routes
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
@@ -39,18 +39,18 @@
     )
     classes = [
         schema.RequestClass(
-            ids.ClassId(name), routed.tier_id(rank), target_s, 10.0
+            ids.ClassId(name), from_routes.tier_id(rank), target_s, 10.0
         )
         for name, rank, target_s in (("chat", 0, 0.4), ("letter", 2, 2.0))
     ]
-    document = routed.build(
-        routed.Parts(
+    document = from_routes.build(
+        from_routes.ParsedRoutes(
             services=[service],
             routes=[],
             classes=classes,
             ranks={"chat": 0, "letter": 1},
             workspaces=[],
-            open_to_all=True,
+            allow_anonymous=True,
             limits=schema.CallerLimits(),
         )
     )
@@ -91,7 +91,7 @@
         parts = [*parts, (f"own-{number}", own_tokens)]
         job = messages.Job(
             request_id=ids.RequestId(f"{class_id}-{number}"),
-            workspace=schema.ANYBODY,
+            workspace=schema.ANONYMOUS_WORKSPACE,
             class_id=ids.ClassId(class_id),
             service=ids.ServiceId("letters"),
             model=ids.ModelId("m"),
--- a/cardamombarrow/decisions/tests/test_plain_calls.py
+++ b/cardamombarrow/decisions/tests/test_plain_calls.py
@@ -8,7 +8,7 @@
 from cardamombarrow.decisions import context as context_module
 from cardamombarrow.decisions import core
 from cardamombarrow.decisions import messages
-from cardamombarrow.document import routed
+from cardamombarrow.document import from_routes
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
@@ -23,16 +23,16 @@
         ids.ServiceId("bookings"), schema.ServiceKind.PLAIN, 6
     )
     lookup = schema.RequestClass(
-        ids.ClassId("lookup"), routed.tier_id(0), _TARGET_S, 1.0
+        ids.ClassId("lookup"), from_routes.tier_id(0), _TARGET_S, 1.0
     )
-    return routed.build(
-        routed.Parts(
+    return from_routes.build(
+        from_routes.ParsedRoutes(
             services=[service],
             routes=[],
             classes=[lookup],
             ranks={"lookup": 0},
             workspaces=[],
-            open_to_all=True,
+            allow_anonymous=True,
             limits=schema.CallerLimits(),
         )
     )
@@ -42,7 +42,7 @@
     """Returns a call that may be repeated."""
     return messages.Job(
         request_id=ids.RequestId(f"lookup-{name}"),
-        workspace=schema.ANYBODY,
+        workspace=schema.ANONYMOUS_WORKSPACE,
         class_id=ids.ClassId("lookup"),
         service=ids.ServiceId("bookings"),
         model=ids.ModelId(""),
--- a/cardamombarrow/document/routed.py
+++ b/cardamombarrow/document/from_routes.py
@@ -12,21 +12,21 @@
 from cardamombarrow.kernel import ids
 
 __all__ = [
+    "DEFAULT_PLAIN_SLOTS",
     "LAST_RANK",
-    "PLAIN_SLOTS",
     "POLICIES",
-    "Parts",
+    "ParsedRoutes",
     "build",
+    "combined_rank",
     "expected_tokens",
-    "pair_rank",
-    "rank_parts",
+    "split_rank",
     "tier_id",
 ]
 
 LAST_RANK = 9
 """The lowest-priority rank, used if none is given."""
 
-PLAIN_SLOTS = 8
+DEFAULT_PLAIN_SLOTS = 8
 """Slots of a plain service's endpoint until discovery reports them."""
 
 STREAM_TOKENS = 40
@@ -44,12 +44,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Parts:
+class ParsedRoutes:
     """The parsed content of a document in another format.
 
     Attributes:
         ranks: Rank of each class's requests.
-        open_to_all: Whether requests need no key.
+        allow_anonymous: Whether requests need no key.
     """
 
     services: list[schema.Service]
@@ -57,7 +57,7 @@
     classes: list[schema.RequestClass]
     ranks: dict[ids.ClassId, int]
     workspaces: list[schema.Workspace]
-    open_to_all: bool
+    allow_anonymous: bool
     limits: schema.CallerLimits
 
 
@@ -75,7 +75,7 @@
     return ids.TierId(f"rank-{rank}")
 
 
-def build(parts: Parts) -> schema.Document:
+def build(parts: ParsedRoutes) -> schema.Document:
     """Returns the document.
 
     Raises:
@@ -89,9 +89,9 @@
         ),
     ]
     routes = parts.routes
-    if parts.open_to_all:
+    if parts.allow_anonymous:
         routes = [dataclasses.replace(each, anonymous=True) for each in routes]
-    anonymous_workspace = schema.Workspace(schema.ANYBODY, (), ())
+    anonymous_workspace = schema.Workspace(schema.ANONYMOUS_WORKSPACE, (), ())
     document = schema.Document(
         tiers=_tiers(parts),
         classes={each.class_id: each for each in parts.classes},
@@ -126,29 +126,32 @@
     return mistakes
 
 
-def _tiers(parts: Parts) -> dict[ids.TierId, schema.Tier]:
+def _tiers(parts: ParsedRoutes) -> dict[ids.TierId, schema.Tier]:
     """Returns one tier for each rank of a class and each combined rank."""
     ranks = set(parts.ranks.values()) | set(_combined_ranks(parts).values())
     lower = max(len(ranks) - 1, 1)
-    reserved = min(RESERVED_SHARE, rules.MOST_RESERVED_SHARE / lower)
+    reserved = min(RESERVED_SHARE, rules.MAX_RESERVED_SHARE / lower)
     return {
         tier_id(rank): schema.Tier(tier_id(rank), rank, reserved)
         for rank in sorted(ranks)
     }
 
 
-def _combined_ranks(parts: Parts) -> dict[tuple[int, int], int]:
+def _combined_ranks(parts: ParsedRoutes) -> dict[tuple[int, int], int]:
     """Returns the combined rank of each workspace rank and class rank."""
-    workspaces = [schema.Workspace(schema.ANYBODY, (), ()), *parts.workspaces]
+    workspaces = [
+        schema.Workspace(schema.ANONYMOUS_WORKSPACE, (), ()),
+        *parts.workspaces,
+    ]
     pairs = {
         schema.rank_pair(workspace, rank)
         for workspace in workspaces
         for rank in parts.ranks.values()
     }
-    return {pair: pair_rank(pair) for pair in pairs}
+    return {pair: combined_rank(pair) for pair in pairs}
 
 
-def pair_rank(pair: tuple[int, int]) -> int:
+def combined_rank(pair: tuple[int, int]) -> int:
     """Returns the combined rank of a pair that `schema.rank_pair` returns.
 
     The result depends only on the pair. Entries use different editions for
@@ -160,6 +163,6 @@
     return first * (LAST_RANK + 1) + second
 
 
-def rank_parts(rank: int) -> tuple[int, int]:
-    """Returns the pair of a rank that `pair_rank` returned."""
+def split_rank(rank: int) -> tuple[int, int]:
+    """Returns the pair of a rank that `combined_rank` returned."""
     return divmod(rank, LAST_RANK + 1)
--- a/cardamombarrow/document/machine.py
+++ b/cardamombarrow/document/machine.py
@@ -26,7 +26,7 @@
 from cardamombarrow.kernel import ids
 
 __all__ = [
-    "Accepted",
+    "AcceptedDocument",
     "DocumentState",
     "Edit",
     "EditAnswer",
@@ -132,7 +132,7 @@
     """The outcome of an edition."""
 
     ACCEPTED = "accepted"
-    KEPT = "kept"
+    NOT_NEWER = "kept"
     INVALID = "invalid"
 
 
@@ -156,7 +156,7 @@
     """The answer to an edition.
 
     Attributes:
-        status: `KEPT` if the same or a higher number was accepted before.
+        status: `NOT_NEWER` if the same or a higher number was accepted before.
         revision: The revision in force afterwards.
         number: The number in force afterwards.
         mistakes: Why the edition is invalid.
@@ -169,7 +169,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Accepted:
+class AcceptedDocument:
     """An accepted document.
 
     Immutable and replaced as a whole, so that readers never see the text of
@@ -194,7 +194,7 @@
     """
 
     def __init__(self, text: str, revision: int = 1):
-        self.accepted = Accepted(ids.Revision(revision), text)
+        self.accepted = AcceptedDocument(ids.Revision(revision), text)
         self.history: collections.deque[HistoryItem] = collections.deque(
             maxlen=MAX_HISTORY
         )
@@ -215,7 +215,7 @@
         """Accepts an edition if its number is above the current one."""
         accepted = self.accepted
         if edition.number <= accepted.number:
-            status = EditionStatus.KEPT
+            status = EditionStatus.NOT_NEWER
             return EditionAnswer(status, accepted.revision, accepted.number)
         try:
             formats.parse(edition.format, edition.text)
@@ -227,7 +227,7 @@
                 tuple(error.mistakes),
             )
         revision = ids.Revision(accepted.revision + 1)
-        self.accepted = Accepted(
+        self.accepted = AcceptedDocument(
             revision, edition.text, edition.format, edition.number
         )
         return EditionAnswer(EditionStatus.ACCEPTED, revision, edition.number)
@@ -345,7 +345,7 @@
     def from_json(cls, raw: dict) -> "DocumentState":
         """Reads what `to_json` wrote."""
         state = cls(raw["text"])
-        state.accepted = Accepted(
+        state.accepted = AcceptedDocument(
             ids.Revision(raw["revision"]),
             raw["text"],
             # A snapshot of an earlier version has neither.
--- a/cardamombarrow/document/rules.py
+++ b/cardamombarrow/document/rules.py
@@ -17,14 +17,14 @@
 from cardamombarrow.kernel import registry
 
 __all__ = [
-    "MOST_RESERVED_SHARE",
+    "MAX_RESERVED_SHARE",
     "Violation",
-    "limits_of",
     "route_violations",
+    "value_range",
     "violations",
 ]
 
-MOST_RESERVED_SHARE = 0.5
+MAX_RESERVED_SHARE = 0.5
 """Most capacity that all lower tiers together may reserve."""
 
 _ADDRESS = re.compile(r"^[A-Za-z0-9.-]+:\d{1,5}$|^\[[0-9a-fA-F:]+\]:\d{1,5}$")
@@ -44,8 +44,7 @@
 def route_violations(document: schema.Document) -> abc.Iterator[Violation]:
     """Yields violations of the rules on routes and keys only.
 
-    For documents built from routes (see `routed`), whose other sections are
-    generated.
+    For documents built by `from_routes`, whose other sections are generated.
     """
     yield from _routes(document)
     yield from _keys(document)
@@ -109,7 +108,7 @@
 
 _VALUE_RANGES: dict[tuple[str, str], tuple[float, float]] = {
     ("tier", "rank"): (0, 15),
-    ("tier", "reserved_share"): (0.0, MOST_RESERVED_SHARE),
+    ("tier", "reserved_share"): (0.0, MAX_RESERVED_SHARE),
     ("class", "target_first_token_s"): (0.01, 86_400),
     ("class", "target_total_s"): (0.01, 86_400),
     ("class", "attainment_share"): (0.01, 1.0),
@@ -122,7 +121,7 @@
 }
 
 
-def limits_of(kind: str, key: str) -> tuple[float, float] | None:
+def value_range(kind: str, key: str) -> tuple[float, float] | None:
     """Returns minimum and maximum of a key, or None if it has no range."""
     return _VALUE_RANGES.get((kind, key))
 
@@ -136,11 +135,11 @@
             yield f"tier:{tier.tier}", reason
     lower = sorted(by_rank)[1:]
     reserved = sum(by_rank[rank].reserved_share for rank in lower)
-    if reserved > MOST_RESERVED_SHARE:
+    if reserved > MAX_RESERVED_SHARE:
         yield (
             f"tier:{by_rank[lower[-1]].tier}",
             f"the lower tiers reserve {reserved:.2f} of the capacity, more "
-            f"than {MOST_RESERVED_SHARE}",
+            f"than {MAX_RESERVED_SHARE}",
         )
 
 
--- a/cardamombarrow/document/schema.py
+++ b/cardamombarrow/document/schema.py
@@ -6,7 +6,7 @@
 from cardamombarrow.kernel import ids
 
 __all__ = [
-    "ANYBODY",
+    "ANONYMOUS_WORKSPACE",
     "CallerLimits",
     "Document",
     "Model",
@@ -24,7 +24,7 @@
 ]
 
 
-ANYBODY = ids.WorkspaceId("")
+ANONYMOUS_WORKSPACE = ids.WorkspaceId("")
 """The workspace of callers without a key."""
 
 
--- a/cardamombarrow/document/tests/test_editions.py
+++ b/cardamombarrow/document/tests/test_editions.py
@@ -32,7 +32,7 @@
         edition = machine.Edition(number, text, formats.SECTIONS)
         answer = state.apply_edition(edition)
         if number <= expected[0]:
-            assert answer.status is machine.EditionStatus.KEPT
+            assert answer.status is machine.EditionStatus.NOT_NEWER
         elif valid:
             assert answer.status is machine.EditionStatus.ACCEPTED
             expected = (number, text)
@@ -48,7 +48,7 @@
     first = machine.Edition(5, kandula_text, formats.SECTIONS)
     state.apply_edition(first)
     other = machine.Edition(5, f"# other\n{kandula_text}", formats.SECTIONS)
-    assert state.apply_edition(other).status is machine.EditionStatus.KEPT
+    assert state.apply_edition(other).status is machine.EditionStatus.NOT_NEWER
     assert state.accepted.text == kandula_text
 
 
--- a/cardamombarrow/endpoints/base.py
+++ b/cardamombarrow/endpoints/base.py
@@ -82,7 +82,7 @@
     resume_tokens: int = 0
     resume_after: str = ""
     caller_id: str = ""
-    workspace: ids.WorkspaceId = schema.ANYBODY
+    workspace: ids.WorkspaceId = schema.ANONYMOUS_WORKSPACE
     headers: tuple[tuple[str, str], ...] = ()
     repeatable: bool = False
     fetch_from: ids.EndpointId | None = None
--- a/cardamombarrow/entry/routed.py
+++ b/cardamombarrow/entry/routed.py
@@ -289,7 +289,7 @@
     applied: in_force.Applied,
 ) -> schema.Workspace:
     if route.anonymous:
-        return applied.document.workspaces[schema.ANYBODY]
+        return applied.document.workspaces[schema.ANONYMOUS_WORKSPACE]
     workspace = applied.keys.find(facts.key) if facts.key else None
     if workspace is None:
         raise errors.RefusedError(
--- a/cardamombarrow/peers/control_service.py
+++ b/cardamombarrow/peers/control_service.py
@@ -40,7 +40,7 @@
     def __init__(
         self,
         log: base.Log,
-        accepted: abc.Callable[[], machine.Accepted],
+        accepted: abc.Callable[[], machine.AcceptedDocument],
         domain: ids.DomainId = ids.DomainId(""),
     ):
         self._log = log
--- a/cardamombarrow/peers/followers.py
+++ b/cardamombarrow/peers/followers.py
@@ -165,7 +165,7 @@
             and follower.last_report_s >= oldest_s
         )
 
-    async def publish(self, accepted: machine.Accepted) -> None:
+    async def publish(self, accepted: machine.AcceptedDocument) -> None:
         """Sends an accepted document to every follower."""
         revision = accepted.revision
         async with self._changed:
--- a/cardamombarrow/peers/tests/test_followers.py
+++ b/cardamombarrow/peers/tests/test_followers.py
@@ -21,7 +21,7 @@
             body = f"rank = 0\nreserved_share = 0.{revision}"
             changed = text.replace(kandula_text, {"tier:race": body})
             texts[revision] = changed
-            await table.publish(machine.Accepted(revision, changed))
+            await table.publish(machine.AcceptedDocument(revision, changed))
 
     asyncio.run(publish())
     return table, texts
--- a/cardamombarrow/peers/tests/test_secret.py
+++ b/cardamombarrow/peers/tests/test_secret.py
@@ -74,7 +74,8 @@
 
 async def _propose(shown_secret):
     service = control_service.ControlService(
-        local.LocalLog("v", _NoMachine()), lambda: machine.Accepted(0, "")
+        local.LocalLog("v", _NoMachine()),
+        lambda: machine.AcceptedDocument(0, ""),
     )
     served = server.Server([service])
     secret.require_tokens(served, "right-secret-0123")
--- a/cardamombarrow/platform/configuration.py
+++ b/cardamombarrow/platform/configuration.py
@@ -9,7 +9,7 @@
 import typing
 
 from cardamombarrow.document import formats
-from cardamombarrow.document import routed
+from cardamombarrow.document import from_routes
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
@@ -51,15 +51,15 @@
         limits = reader.limits(raw.get("limits", {}))
         if reader.mistakes:
             raise errors.ConfigError(reader.mistakes)
-        return routed.build(
-            routed.Parts(
+        return from_routes.build(
+            from_routes.ParsedRoutes(
                 services=services,
                 routes=[route for route, _, _ in routes],
                 classes=[each for _, each, _ in routes],
                 ranks={each.class_id: rank for _, each, rank in routes},
                 workspaces=workspaces,
                 # Where there are no tenants, no request carries a key.
-                open_to_all="tenants" not in raw,
+                allow_anonymous="tenants" not in raw,
                 limits=limits,
             )
         )
@@ -116,7 +116,10 @@
         """Reads a service."""
         engine = raw.get("engine")
         if engine is None:
-            kind, slots = schema.ServiceKind.PLAIN, routed.PLAIN_SLOTS
+            kind, slots = (
+                schema.ServiceKind.PLAIN,
+                from_routes.DEFAULT_PLAIN_SLOTS,
+            )
         else:
             kind, slots = schema.ServiceKind.ENGINE, int(engine["slots"])
         return schema.Service(
@@ -145,11 +148,13 @@
         class_id = ids.ClassId(name)
         request_class = schema.RequestClass(
             class_id=class_id,
-            tier=routed.tier_id(int(raw.get("priority", routed.LAST_RANK))),
+            tier=from_routes.tier_id(
+                int(raw.get("priority", from_routes.LAST_RANK))
+            ),
             target_first_token_s=min(goal_s, timeout_s),
             target_total_s=timeout_s,
             repeatable=kind == _IDEMPOTENT or resumable,
-            expected_tokens=routed.expected_tokens(kind == _STREAMING),
+            expected_tokens=from_routes.expected_tokens(kind == _STREAMING),
         )
         route = schema.Route(
             route=ids.RouteId(name),
@@ -163,7 +168,11 @@
             streams=kind == _STREAMING,
             longest_pause_s=_number(raw.get("itlTargetMs") or 0) / 1_000,
         )
-        return route, request_class, int(raw.get("priority", routed.LAST_RANK))
+        return (
+            route,
+            request_class,
+            int(raw.get("priority", from_routes.LAST_RANK)),
+        )
 
     def workspace(self, raw: dict[str, typing.Any]) -> schema.Workspace:
         """Reads a tenant."""
--- a/cardamombarrow/platform/servers.py
+++ b/cardamombarrow/platform/servers.py
@@ -5,7 +5,7 @@
 import time
 
 from cardamombarrow.decisions import messages
-from cardamombarrow.document import routed
+from cardamombarrow.document import from_routes
 from cardamombarrow.endpoints import base
 from cardamombarrow.endpoints import transfer
 from cardamombarrow.kernel import errors
@@ -177,6 +177,6 @@
     requests back, and there the route's rank goes first: a workspace's rank
     decides who waits and who is placed, not whose answer is cut.
     """
-    workspace_rank, route_rank = routed.rank_parts(rank)
+    workspace_rank, route_rank = from_routes.split_rank(rank)
     step = min(workspace_rank, _STEPS - 1)
     return min(_STEPS * route_rank + step, _LEAST_URGENT)
--- a/cardamombarrow/platform/tests/test_servers.py
+++ b/cardamombarrow/platform/tests/test_servers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cardamombarrow.document import routed
+from cardamombarrow.document import from_routes
 from cardamombarrow.endpoints import base
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
@@ -146,7 +146,7 @@
     )
     told = [
         int(dict(_KIND.request_headers(_call(rank=rank)))["Request-Priority"])
-        for rank in map(routed.pair_rank, pairs)
+        for rank in map(from_routes.combined_rank, pairs)
     ]
     assert told == sorted(told)
     assert told[0] == 0
--- a/cardamombarrow/reports/tests/test_core.py
+++ b/cardamombarrow/reports/tests/test_core.py
@@ -64,5 +64,5 @@
     document.write_text(kandula_text)
     log.write_text(json.dumps(_settle(first_token_s=2.0)) + "\n")
     code = cli.run(["report", "--document", str(document), str(log)])
-    assert code == exit_codes.ExitCode.PROMISE_BROKEN
+    assert code == exit_codes.ExitCode.TARGET_MISSED
     assert "NO" in capsys.readouterr().out
--- a/tools/write_reference.py
+++ b/tools/write_reference.py
@@ -96,7 +96,7 @@
 def _document_key(
     kind: str, field: dataclasses.Field, meanings: dict[str, str]
 ) -> str:
-    low, high = rules.limits_of(kind, field.name) or ("", "")
+    low, high = rules.value_range(kind, field.name) or ("", "")
     meaning = " ".join(meanings.get(field.name, "").split())
     limits = f"{low} to {high}" if high != "" else ""
     return f"| {field.name} | {_default(field)} | {limits} | {meaning} |"
