--- a/cardamombarrow/document/machine.py
+++ b/cardamombarrow/document/machine.py
@@ -240,13 +240,13 @@
             if stored[0] == digest:
                 return stored[1]
             return EditAnswer(EditStatus.ID_REUSED, self.revision)
-        answer = self._validate(edit)
+        answer = self._validate_and_apply(edit)
         self._answers[edit.edit_id] = (digest, answer)
         while len(self._answers) > MAX_ANSWERS:
             del self._answers[next(iter(self._answers))]
         return answer
 
-    def _validate(self, edit: Edit) -> EditAnswer:
+    def _validate_and_apply(self, edit: Edit) -> EditAnswer:
         malformed = self._malformed(edit)
         if malformed:
             return EditAnswer(EditStatus.INVALID, self.revision, malformed)
--- a/cardamombarrow/kernel/settings.py
+++ b/cardamombarrow/kernel/settings.py
@@ -87,22 +87,22 @@
     values = {}
     for name, section_cls in sections.items():
         raw = dict(parser[name]) if parser.has_section(name) else {}
-        place = f"{source}: [{name}]"
-        values[name] = section(section_cls, raw, place, mistakes)
+        location = f"{source}: [{name}]"
+        values[name] = section(section_cls, raw, location, mistakes)
     if mistakes:
         raise errors.ConfigError(mistakes)
     return cls(**values)
 
 
 def section(
-    cls: type[_T], raw: dict[str, str], place: str, mistakes: list[str]
+    cls: type[_T], raw: dict[str, str], location: str, mistakes: list[str]
 ) -> _T | None:
     """Reads one section.
 
     Args:
         cls: A dataclass whose fields are made with `setting`.
         raw: Text by key.
-        place: File and section, for the messages.
+        location: File and section, for the messages.
         mistakes: List that the mistakes found are appended to.
 
     Returns:
@@ -112,7 +112,7 @@
     for key in raw:
         if key not in known:
             mistakes.append(
-                f"{place} {key}: unknown key; known: {', '.join(known)}"
+                f"{location} {key}: unknown key; known: {', '.join(known)}"
             )
     before = len(mistakes)
     values = {}
@@ -123,12 +123,12 @@
                 and field.default_factory is dataclasses.MISSING
             )
             if required:
-                mistakes.append(f"{place} {name}: required key is missing")
+                mistakes.append(f"{location} {name}: required key is missing")
             continue
         try:
             values[name] = _convert(field, raw[name].strip())
         except ValueError as error:
-            mistakes.append(f"{place} {name}: {error}")
+            mistakes.append(f"{location} {name}: {error}")
     return cls(**values) if len(mistakes) == before else None
 
 
