--- a/cardamombarrow/__main__.py
+++ b/cardamombarrow/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the one command, ``cardamombarrow``."""
+"""Entry point of the command ``cardamombarrow``."""
 
 import sys
 
@@ -13,7 +13,7 @@
     Returns:
         The exit code, as documented in ``docs/cli.md``.
     """
-    with loading.modules():
+    with loading.gc_paused():
         from cardamombarrow.cli import core
 
     return core.run(sys.argv[1:])
--- a/cardamombarrow/cli/exit_codes.py
+++ b/cardamombarrow/cli/exit_codes.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the command's exit code means."""
+    """Meaning of the exit codes."""
 
     DONE = 0
     FAILED = 1
@@ -14,4 +14,4 @@
     INVALID = 3
     CONFLICT = 4
     NOT_IN_FORCE = 5
-    PROMISE_BROKEN = 6
+    TARGET_MISSED = 6
--- a/cardamombarrow/cli/serve.py
+++ b/cardamombarrow/cli/serve.py
@@ -1,4 +1,4 @@
-"""Commands that run a role or check its settings."""
+"""Commands that run a role or check settings and documents."""
 
 import argparse
 
@@ -18,9 +18,9 @@
 
 def entry(arguments: argparse.Namespace) -> int:
     """Runs an entry."""
-    # Imported here: an entry that loaded the control process's modules too
-    # would hold their memory on each instance.
-    with loading.modules():
+    # Imported here, as the control process's modules would take memory in each
+    # entry.
+    with loading.gc_paused():
         from cardamombarrow.entry import core as entry_core
 
     path = arguments.settings
@@ -30,7 +30,7 @@
 
 def control(arguments: argparse.Namespace) -> int:
     """Runs a control process."""
-    with loading.modules():
+    with loading.gc_paused():
         from cardamombarrow.control import core as control_core
 
     path = arguments.settings
--- a/cardamombarrow/entry/crash_detector.py
+++ b/cardamombarrow/entry/crash_detector.py
@@ -67,7 +67,7 @@
         """Handles a failed request; call before its slot is released."""
         if error.kind is errors.ErrorKind.ENDPOINT_UNREACHED:
             self._on_unreached(endpoint, job)
-        elif error.kind in _CRASH_ERRORS and error.broke:
+        elif error.kind in _CRASH_ERRORS and error.connection_broke:
             self._on_broken(endpoint, job, kind)
 
     def _on_unreached(
--- a/cardamombarrow/entry/routed.py
+++ b/cardamombarrow/entry/routed.py
@@ -293,7 +293,7 @@
     applied: in_force.AppliedDocument,
 ) -> schema.Workspace:
     if route.anonymous:
-        return applied.document.workspaces[schema.ANYBODY]
+        return applied.document.workspaces[schema.ANONYMOUS_WORKSPACE]
     workspace = (
         applied.keys.find(parsed_headers.key) if parsed_headers.key else None
     )
--- a/cardamombarrow/reports/core.py
+++ b/cardamombarrow/reports/core.py
@@ -109,7 +109,7 @@
         """
         return self.in_target / self.answered if self.answered else None
 
-    def attained(self, request_class: schema.RequestClass) -> bool:
+    def met(self, request_class: schema.RequestClass) -> bool:
         """Returns whether the class met its sold attainment target."""
         share = self.attainment_share
         return share is None or share >= request_class.attainment_share
