--- a/cardamombarrow/duties/__init__.py
+++ b/cardamombarrow/duties/__init__.py
@@ -1,5 +1,5 @@
 """Calls to the platform that one control process makes for all.
 
-Usage reports and orders of endpoints. Who makes them, under which fencing
-token, and what was reported is kept by the replicated log.
+These are usage reports and orders of endpoints. The replicated log stores the
+process that holds the duties, its fencing token and the committed reports.
 """
--- a/cardamombarrow/duties/base.py
+++ b/cardamombarrow/duties/base.py
@@ -1,4 +1,4 @@
-"""How a platform is told of usage and asked for endpoints."""
+"""Interface to a platform that takes usage reports and endpoint orders."""
 
 import abc
 import dataclasses
@@ -20,17 +20,17 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a call."""
+    """Result of a call."""
 
     TAKEN = "taken"
     REFUSED = "refused"
-    """A higher fencing token was seen, or there is nothing to be had."""
+    """The platform has seen a higher fencing token, or has no capacity."""
     INVALID = "invalid"
-    """It will be refused however often it is sent."""
+    """The call is invalid; sending it again gives the same result."""
     UNAVAILABLE = "unavailable"
-    """It was not carried out and may be sent again later."""
+    """The call was not carried out and may be sent again later."""
     UNKNOWN = "unknown"
-    """There was no answer: it may be carried out, also later."""
+    """No answer: the call may have been, or may still be, carried out."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class EndpointOrder:
-    """How many endpoints of one kind a service gets in a failure domain.
+    """Wanted number of endpoints of one kind in a failure domain.
 
     Attributes:
-        spot: Whether they are of the cheaper kind that may be reclaimed.
-        count: How many there shall be.
+        spot: Whether they are spot endpoints: cheaper, and may be reclaimed.
+        count: Total number, not a change.
     """
 
     service: ids.ServiceId
@@ -68,6 +68,6 @@
 
         Args:
             url: Base address of the platform.
-            call: What is told or asked for.
-            holder: Who sends, and its fencing token.
+            call: The report or order.
+            holder: The sending process and its fencing token.
         """
--- a/cardamombarrow/duties/holding.py
+++ b/cardamombarrow/duties/holding.py
@@ -1,9 +1,10 @@
-"""Who may call the platform now: the holder's side of the log.
+"""The lease under which one control process may call the platform.
 
-The process that leads the log takes the duties. It calls only right after a
-majority has confirmed that it is still the holder, by a clock that counts the
-time for which the machine was suspended. A new holder leaves the one before it
-the time of a lease: the two can't ask each other.
+The leader of the log takes the duties. It calls the platform only shortly after
+a majority has confirmed that it is still the holder, measured on a clock that
+includes the time in which the machine was suspended. A new holder waits for the
+length of a lease before its first call, because it can't ask the previous
+holder whether it has stopped.
 """
 
 from cardamombarrow.kernel import clock
@@ -17,11 +18,11 @@
 __all__ = ["Holding"]
 
 CONFIRMED_SHARE = 0.25
-"""Part of a lease for which one confirmation is relied on."""
+"""Part of a lease for which one confirmation is valid."""
 
 
 class Holding:
-    """This process's hold on the duties; used by one thread."""
+    """This process's lease of the duties; used by one thread."""
 
     def __init__(
         self,
@@ -35,26 +36,26 @@
         self._lease_s = lease_s
         self._clock = boot_clock
         self._holder: machine.Holder | None = None
-        self._from_s = 0.0
+        self._valid_from_s = 0.0
         self._confirmed_s = float("-inf")
 
     @property
     def holder(self) -> machine.Holder | None:
-        """What this process holds under; None where it doesn't."""
+        """This process and its fencing token; None if it is not the holder."""
         return self._holder
 
     def leads(self) -> bool:
-        """Tells whether this process leads the log, or lets the duties go."""
+        """Returns whether this process leads the log; releases if not."""
         status = self._log.status()
         leads = status.leader == status.voter and status.has_quorum
         if not leads and self._holder is not None:
-            self.release("it does not lead the log")
+            self.release("no longer leader of the log")
         return leads
 
     def release(self, reason: str) -> None:
-        """Stops holding; a token that was held is not used again."""
+        """Gives up the duties; the token is not used again."""
         logs.event(
-            "duties let go",
+            "duties released",
             "WARNING",
             fencing=self._holder and self._holder.fencing,
             reason=reason,
@@ -67,7 +68,7 @@
         Raises:
             errors.RouterError: There is no quorum.
         """
-        asked_s = self._clock.now_s()
+        requested_s = self._clock.now_s()
         reply = committing.commit(
             self._log,
             control_pb2.Command(
@@ -77,26 +78,26 @@
             ),
         ).duties
         if self._holder is None:
-            other = reply.before not in ("", self._instance)
-            pause_s = self._lease_s if other else 0.0
-            self._from_s = self._clock.now_s() + pause_s
+            replaces_other = reply.before not in ("", self._instance)
+            wait_s = self._lease_s if replaces_other else 0.0
+            self._valid_from_s = self._clock.now_s() + wait_s
         self._holder = machine.Holder(self._instance, reply.fencing)
-        self._confirmed_s = asked_s
+        self._confirmed_s = requested_s
         logs.event(
             "duties taken", fencing=reply.fencing, holder_before=reply.before
         )
         return self._holder
 
     def may_call(self) -> bool:
-        """Tells whether a call may be made now; may ask the log.
+        """Returns whether a call may be made now; renews through the log.
 
         Raises:
             errors.RouterError: There is no quorum.
         """
-        if self._holder is None or self._clock.now_s() < self._from_s:
+        if self._holder is None or self._clock.now_s() < self._valid_from_s:
             return False
         if not self._is_confirmed():
-            asked_s = self._clock.now_s()
+            requested_s = self._clock.now_s()
             reply = committing.commit(
                 self._log,
                 control_pb2.Command(
@@ -107,20 +108,21 @@
                 ),
             ).duties
             if not reply.current:
-                self.release(f"{reply.instance} holds {reply.fencing}")
+                self.release(f"{reply.instance} holds token {reply.fencing}")
                 return False
-            self._confirmed_s = asked_s
+            self._confirmed_s = requested_s
         return self._is_confirmed()
 
     def _is_confirmed(self) -> bool:
-        past_s = self._clock.now_s() - self._confirmed_s
-        return past_s <= CONFIRMED_SHARE * self._lease_s
+        age_s = self._clock.now_s() - self._confirmed_s
+        return age_s <= CONFIRMED_SHARE * self._lease_s
 
     def refused(self) -> bool:
-        """Looks who holds after a call was refused.
+        """Checks through the log who the holder is after a refused call.
 
         Returns:
-            Whether this process still holds: the refusal had another reason.
+            Whether this process is still the holder, so that the refusal had
+            another reason.
 
         Raises:
             errors.RouterError: There is no quorum.
--- a/cardamombarrow/duties/http_gateway.py
+++ b/cardamombarrow/duties/http_gateway.py
@@ -1,8 +1,8 @@
-"""Calls over HTTP, and the project's own form of them.
+"""Calls over HTTP, and the project's own format for them.
 
 ``POST /v1/usage`` takes a window and its counts, ``POST /v1/endpoints`` a
-service, a domain, a kind and a number. Both bear the holder and its fencing
-token; 409 answers a token lower than one that was seen.
+service, a domain, a kind and a number. Headers of both name the holder and its
+fencing token; a token lower than one seen before is answered with 409.
 """
 
 import abc
@@ -18,14 +18,14 @@
 __all__ = ["HttpGateway", "OwnGateway"]
 
 TIMEOUT_S = 1.0
-"""An answer takes some ms; a platform that is down may take for ever."""
+"""Answers take some ms; a platform that is down may never answer."""
 
 _BUSY = 429
 _CONFLICT = 409
 
 
 class HttpGateway(base.Gateway):
-    """Sends calls as JSON and reads the statuses."""
+    """Sends calls as JSON and maps HTTP statuses to outcomes."""
 
     holder_header: str
     token_header: str
@@ -67,13 +67,13 @@
         return base.Outcome.UNAVAILABLE
     if status < 500:
         return base.Outcome.INVALID
-    # A failure of the platform may come after the call was taken.
+    # The platform may have failed after it had carried out the call.
     return base.Outcome.UNKNOWN
 
 
 @registry.plugin(base.SLOT, "own")
 class OwnGateway(HttpGateway):
-    """The project's own form."""
+    """The project's own format."""
 
     holder_header = "X-Holder"
     token_header = "X-Fencing-Token"
--- a/cardamombarrow/duties/machine.py
+++ b/cardamombarrow/duties/machine.py
@@ -1,11 +1,11 @@
-"""Who holds the duties and what was reported, as a state machine on the log.
+"""Holder and usage reports of the duties, as a state machine on the log.
 
 The platform refuses a call whose fencing token is lower than one that it has
 seen. A call that got no answer may still be carried out seconds later, so the
 holder also takes a new token before it contradicts such a call.
 
-Two reports of one window must not differ, whoever sends them: what is reported
-is committed first, and the first commit stands.
+All reports of one window must be equal, also those of different holders. So a
+report is committed before it is sent, and only the first commit counts.
 """
 
 import dataclasses
@@ -15,16 +15,16 @@
 
 __all__ = ["DutiesState", "Report"]
 
-SETTLED_KEPT = 16
-"""Windows remembered whose report was taken."""
+MAX_SETTLED = 16
+"""Stored windows whose report the platform has taken."""
 
 OPEN_KEPT = 64
-"""Windows remembered whose report was not taken; the oldest are given up."""
+"""Stored windows whose report is not taken; the oldest are dropped."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What is reported of one window.
+    """Usage report of one window.
 
     Attributes:
         counts: Requests that began to run, by workspace.
@@ -41,9 +41,8 @@
     """Holder and reports; the same at every voter.
 
     Attributes:
-        holders: The present holder.
-        before: The holder's instance before the present one; empty where
-            there was none.
+        holders: The current holder.
+        before: Instance of the previous holder; empty if there was none.
         reports: Committed reports, by window.
     """
 
@@ -59,7 +58,7 @@
         return self.holders.take(instance)
 
     def renew(self, holder: orders_machine.Holder) -> bool:
-        """Tells whether a holder is still the one."""
+        """Returns whether this is still the holder."""
         return self.holders.renew(holder)
 
     def commit(
@@ -68,25 +67,25 @@
         counts: dict[ids.WorkspaceId, int],
         holder: orders_machine.Holder,
     ) -> Report | None:
-        """Fixes the report of a window.
+        """Commits the report of a window, unless one is committed already.
 
         Returns:
-            What stands for the window; None where the one that asks is not
-            the holder any more, or the window is too old to be known.
+            The committed report of the window; None if the caller is no longer
+            the holder, or if the window is too old to be stored.
         """
-        standing = self.reports.get(window)
-        if standing is not None:
-            return standing
+        committed = self.reports.get(window)
+        if committed is not None:
+            return committed
         if not self.renew(holder) or window < self._oldest():
             return None
         report = Report(dict(counts), holder.fencing)
-        # Another thread may be reading: what it reads is never changed.
+        # Replaced, not changed: other threads may be reading it.
         self.reports = {**self.reports, window: report}
         self._trim()
         return report
 
     def settle(self, window: int) -> None:
-        """Notes that the platform has taken a report."""
+        """Records that the platform has taken a report."""
         if window in self.reports:
             taken = dataclasses.replace(self.reports[window], taken=True)
             self.reports = {**self.reports, window: taken}
@@ -104,11 +103,11 @@
     def _trim(self) -> None:
         oldest = self._oldest()
         settled = sorted(w for w, r in self.reports.items() if r.taken)
-        gone = set(settled[:-SETTLED_KEPT])
+        dropped = set(settled[:-MAX_SETTLED])
         self.reports = {
             window: report
             for window, report in self.reports.items()
-            if window >= oldest and window not in gone
+            if window >= oldest and window not in dropped
         }
 
     def to_json(self) -> dict:
--- a/cardamombarrow/duties/ordering.py
+++ b/cardamombarrow/duties/ordering.py
@@ -1,12 +1,12 @@
-"""Which orders of endpoints are sent, from what is wanted and what is there.
+"""Plans endpoint orders from the wanted and the listed endpoints.
 
-Load pattern: all reclaimable endpoints of a domain go at once, within seconds,
-and for a while no others are to be had. Those are so much cheaper that they
-are asked for first; what they don't fill, the other kind fills. An endpoint is
-given up only once its replacement serves.
+Load pattern: the platform reclaims all spot endpoints of a domain within
+seconds, and has no new ones for some time. They are so much cheaper that they
+are ordered first, and regular endpoints cover the rest. An endpoint is
+released only once its replacement serves.
 
-Orders are numbers, not changes, so that one which is sent twice does no harm.
-An old one that is carried out after a newer one does: see `Order.contradicts`.
+An order states a total, so that sending it twice does no harm. An old order
+that is carried out after a newer one does: see `Order.contradicts`.
 """
 
 import collections
@@ -21,36 +21,36 @@
 
 __all__ = ["Fleet", "Order", "Ordering", "count_endpoints"]
 
-SPOT_RETRY_S = 8.0
-"""Time until reclaimable endpoints are asked for again after a refusal."""
+REFUSED_RETRY_S = 8.0
+"""Time until a refused order is sent again."""
 
 INVALID_RETRY_S = 60.0
-"""Time until an order is sent again that makes no sense to the platform."""
+"""Time until an order that the platform found invalid is sent again."""
 
-SEEN_AFTER_S = 4.0
-"""Time beside that of a start within which an order shows in the list."""
+LISTING_DELAY_S = 4.0
+"""Time after the boot time within which an order shows in the list."""
 
-RETRY_S = 1.0
-"""Time until an order without a clear answer is sent again."""
+UNCLEAR_RETRY_S = 1.0
+"""Time until an order without a definite answer is sent again."""
 
-SWAP_STEP = 2
-"""Places of a domain kept free of the dearer kind, and endpoints of it given up
-at a time where there is no room for the cheaper kind beside them."""
+REPLACEMENT_STEP = 2
+"""Endpoints below the maximum at which regular orders stop, and regular ones
+released at a time if the maximum leaves no room for spot endpoints."""
 
-LATE_S = 60.0
-"""How long a call without an answer may still be carried out."""
+MAX_CALL_DELAY_S = 60.0
+"""Time in which a call without an answer may still be carried out."""
 
-_PAUSES_S = {
-    base.Outcome.REFUSED: SPOT_RETRY_S,
+_RETRY_AFTER_S = {
+    base.Outcome.REFUSED: REFUSED_RETRY_S,
     base.Outcome.INVALID: INVALID_RETRY_S,
-    base.Outcome.UNAVAILABLE: RETRY_S,
-    base.Outcome.UNKNOWN: RETRY_S,
+    base.Outcome.UNAVAILABLE: UNCLEAR_RETRY_S,
+    base.Outcome.UNKNOWN: UNCLEAR_RETRY_S,
 }
 
 
 @dataclasses.dataclass(frozen=True)
 class Fleet:
-    """Endpoints of one service in one failure domain that take work."""
+    """Live endpoints of one service in one failure domain."""
 
     spot: int = 0
     regular: int = 0
@@ -61,8 +61,8 @@
     """A call that is due.
 
     Attributes:
-        contradicts: Whether an earlier call that says something else may
-            still be carried out: this one needs a newer fencing token.
+        contradicts: Whether an earlier call with another number may still be
+            carried out, so that this one needs a newer fencing token.
     """
 
     call: base.EndpointOrder
@@ -79,7 +79,7 @@
     seen: int | None = None
 
 
-_Subject = tuple[ids.ServiceId, ids.DomainId, bool]
+_OrderKey = tuple[ids.ServiceId, ids.DomainId, bool]
 
 
 def count_endpoints(
@@ -100,10 +100,10 @@
 
 
 class Ordering:
-    """What one holder has ordered since it holds."""
+    """Plans and records the orders of one holder since it took the duties."""
 
     def __init__(self):
-        self._sent: dict[_Subject, _Sent] = {}
+        self._sent: dict[_OrderKey, _Sent] = {}
 
     def due(
         self,
@@ -115,7 +115,7 @@
         """Yields the orders to send now.
 
         Args:
-            service: What is ordered.
+            service: The service to order for.
             wanted: Endpoints of both kinds together, by failure domain.
             fleets: Endpoints that are listed, by failure domain.
             now_s: Monotonic time.
@@ -143,23 +143,25 @@
         fleet: Fleet,
         now_s: float,
     ) -> int:
-        """Returns how many of the dearer kind there shall be."""
+        """Returns the number of regular endpoints to order."""
         scaling = service.scaling
         if not scaling.spot_price:
             return min(count, scaling.most)
-        coming = fleet.spot
+        expected_spot = fleet.spot
         sent = self._sent.get((service.service, domain, True))
         taken = sent is not None and sent.outcome is base.Outcome.TAKEN
-        boot_s = scaling.boot_s + SEEN_AFTER_S
+        boot_s = scaling.boot_s + LISTING_DELAY_S
         if taken and now_s - sent.sent_s <= boot_s:
-            coming = max(coming, sent.count)
-        room = min(scaling.most - coming, scaling.most - SWAP_STEP)
-        grown = max(min(count - coming, room), 0)
-        kept = count - fleet.spot
+            expected_spot = max(expected_spot, sent.count)
+        room = min(
+            scaling.most - expected_spot, scaling.most - REPLACEMENT_STEP
+        )
+        missing = max(min(count - expected_spot, room), 0)
+        replaceable = count - fleet.spot
         if taken and count > scaling.most - fleet.regular:
-            # Without room the cheaper kind could never come back.
-            kept -= SWAP_STEP
-        return min(max(fleet.regular, grown), max(kept, 0))
+            # At the maximum, spot endpoints could otherwise never return.
+            replaceable -= REPLACEMENT_STEP
+        return min(max(fleet.regular, missing), max(replaceable, 0))
 
     def _order(
         self,
@@ -180,18 +182,20 @@
         sent.seen = seen
         if count == seen:
             sent.repeated = False
-        past_s = now_s - sent.sent_s
-        is_late = now_s - sent.unanswered_s <= LATE_S
+        age_s = now_s - sent.sent_s
+        may_be_delayed = now_s - sent.unanswered_s <= MAX_CALL_DELAY_S
         if sent.outcome is base.Outcome.TAKEN:
-            boot_s = service.scaling.boot_s + SEEN_AFTER_S
-            is_lost = count != seen and past_s > boot_s and not sent.repeated
+            boot_s = service.scaling.boot_s + LISTING_DELAY_S
+            was_undone = count != seen and age_s > boot_s and not sent.repeated
             if count != sent.count:
-                yield Order(call, contradicts=is_late)
-            elif is_lost:
-                # It may have been undone by a call that was carried out late.
+                yield Order(call, contradicts=may_be_delayed)
+            elif was_undone:
+                # A call that was carried out late may have undone it.
                 yield Order(call, contradicts=True)
-        elif past_s >= _PAUSES_S[sent.outcome] and count != seen:
-            yield Order(call, contradicts=is_late and count != sent.count)
+        elif age_s >= _RETRY_AFTER_S[sent.outcome] and count != seen:
+            yield Order(
+                call, contradicts=may_be_delayed and count != sent.count
+            )
 
     def view(self) -> list[dict[str, typing.Any]]:
         """Returns the last order of each kind, as plain JSON values."""
@@ -208,28 +212,28 @@
 
     @property
     def awaits(self) -> bool:
-        """Whether an order was taken and is not seen carried out yet."""
+        """Whether a taken order does not show in the list yet."""
         return any(
             sent.outcome is base.Outcome.TAKEN and sent.count != sent.seen
             for sent in self._sent.values()
         )
 
     def record(self, order: Order, outcome: base.Outcome, now_s: float) -> None:
-        """Notes what became of an order."""
+        """Records the outcome of an order."""
         call = order.call
-        subject = call.service, call.domain, call.spot
-        before = self._sent.get(subject)
-        # Under a newer token an earlier call is refused when it comes late.
+        key = call.service, call.domain, call.spot
+        previous = self._sent.get(key)
+        # With a newer token, earlier calls are refused if they arrive late.
         unanswered_s = float("-inf")
         if outcome is base.Outcome.UNKNOWN:
             unanswered_s = now_s
-        elif before is not None and not order.contradicts:
-            unanswered_s = before.unanswered_s
+        elif previous is not None and not order.contradicts:
+            unanswered_s = previous.unanswered_s
         repeated = (
-            before is not None
-            and before.outcome is base.Outcome.TAKEN
-            and before.count == call.count
+            previous is not None
+            and previous.outcome is base.Outcome.TAKEN
+            and previous.count == call.count
         )
-        self._sent[subject] = _Sent(
+        self._sent[key] = _Sent(
             call.count, now_s, outcome, unanswered_s, repeated
         )
--- a/cardamombarrow/duties/runner.py
+++ b/cardamombarrow/duties/runner.py
@@ -26,31 +26,31 @@
 
 __all__ = ["DutiesRunner", "MeteringView", "Sources"]
 
-LOOK_S = 0.5
-"""Time between two looks at what is due."""
+CHECK_INTERVAL_S = 0.5
+"""Time between two checks for due calls."""
 
-LIST_S = 2.0
-"""Time between two readings of the list of endpoints."""
+LIST_INTERVAL_S = 2.0
+"""Time between two fetches of the list of endpoints."""
 
-LIST_AWAITED_S = 1.0
-"""The same while an order is expected to show in it."""
+LIST_INTERVAL_PENDING_S = 1.0
+"""The same while a taken order does not show in the list yet."""
 
-LIST_LIFE_S = 8.0
-"""Age from which a list tells nothing of endpoints that could be given up."""
+LIST_MAX_AGE_S = 8.0
+"""Age from which a list is too old to order endpoints by."""
 
 RESEND_S = 1.0
-"""Time until a report without a clear answer is sent again."""
+"""Time until a report without a definite answer is sent again."""
 
 
 @dataclasses.dataclass(frozen=True)
 class MeteringView:
-    """What entries told, as it stands now.
+    """Current usage and demand, as reported by the entries.
 
     Attributes:
-        unix_s: The time of day that is agreed on.
+        unix_s: Agreed time of day, Unix seconds.
         totals: Counts by window and workspace.
-        sources: How many entries told something, by window.
-        demand: What is asked of services by failure domain.
+        sources: Number of entries that reported, by window.
+        demand: Demand by failure domain and service.
     """
 
     unix_s: float
@@ -61,11 +61,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sources:
-    """Where the runner reads from.
+    """Inputs of the runner.
 
     Attributes:
-        metering: Returns what entries told; None before any did.
-        state: Returns the duties as the log has them.
+        metering: Returns usage and demand; None before the first report.
+        state: Returns the state of the duties in the log.
         document: Returns the document in force; None before the first one.
         listing: Reads the list of endpoints.
     """
@@ -77,7 +77,7 @@
 
 
 class DutiesRunner(lifecycle.Part):
-    """One task that reports usage and orders endpoints."""
+    """Thread that reports usage and orders endpoints."""
 
     def __init__(
         self,
@@ -94,47 +94,50 @@
         self._gateway = gateway
         self._sources = sources
         self._clock = time_source
-        self._times = windows.UsageTimes(
+        self._usage_times = windows.UsageTimes(
             settings.window_s, settings.usage_late_s
         )
         self._first_window: int | None = None
-        self._reported_s: dict[int, float] = {}
+        self._reported_at_s: dict[int, float] = {}
         self._ordering = ordering_module.Ordering()
         self._scalers: dict[ids.ServiceId, scaling.Scaler] = {}
         self._listed: list[discovery.ListedEndpoint] = []
-        self._listed_s = float("-inf")
-        self._called_s = float("-inf")
+        self._listed_at_s = float("-inf")
+        self._called_at_s = float("-inf")
         self._stop = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="duties", daemon=True
         )
 
     def start(self) -> None:
-        """Starts looking."""
+        """Starts the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stops; a call under way is waited for."""
+        """Stops the thread after the current call."""
         self._stop.set()
         self._thread.join()
 
     def orders(self) -> list[dict[str, typing.Any]]:
-        """Returns the last orders of endpoints, where this process holds."""
+        """Returns the last endpoint orders; empty if not the holder."""
         return self._ordering.view() if self._holding.holder else []
 
     def _run(self) -> None:
-        while not self._stop.wait(LOOK_S):
+        while not self._stop.wait(CHECK_INTERVAL_S):
             try:
                 self.look()
             except errors.RouterError as error:
-                # The next look starts from what the log then has.
-                logs.event("duties held up", "WARNING", detail=error.detail)
+                # The next check starts from the state of the log.
+                logs.event(
+                    "duties check failed", "WARNING", detail=error.detail
+                )
 
     def look(self) -> None:
-        """Does what is due now.
+        """Makes the calls that are due now.
 
         Raises:
-            errors.RouterError: The log did not answer; nothing is lost.
+            errors.RouterError: The log did not answer; the next check
+                continues from its state.
         """
         if not self._holding.leads():
             self._first_window = None
@@ -155,7 +158,7 @@
         self._ordering = ordering_module.Ordering()
         last = self._sources.state().last_window
         self._first_window = (
-            int(metering.unix_s // self._times.window_s)
+            int(metering.unix_s // self._usage_times.window_s)
             if last is None
             else last + 1
         )
@@ -168,7 +171,7 @@
         if holder is None or self._first_window is None:
             return
         for window in windows.due_windows(
-            state, self._first_window, metering.unix_s, self._times
+            state, self._first_window, metering.unix_s, self._usage_times
         ):
             reply = committing.commit(
                 self._log,
@@ -188,13 +191,14 @@
                 workspaces=len(reply.counts),
                 sources=metering.sources.get(window, 0),
                 age_s=round(
-                    metering.unix_s - (window + 1) * self._times.window_s, 3
+                    metering.unix_s - (window + 1) * self._usage_times.window_s,
+                    3,
                 ),
                 fencing=holder.fencing,
                 committed=reply.committed,
             )
             if not reply.committed:
-                # Another one has held the duties meanwhile.
+                # Another process has taken the duties.
                 self._holding.refused()
                 return
 
@@ -202,13 +206,13 @@
         state = self._sources.state()
         for window in windows.open_windows(state):
             now_s = self._clock.now_s()
-            if now_s - self._reported_s.get(window, -RESEND_S) < RESEND_S:
+            if now_s - self._reported_at_s.get(window, -RESEND_S) < RESEND_S:
                 continue
             counts = dict(state.reports[window].counts)
             outcome = self._call(base.UsageReport(window, counts))
             if outcome is None:
                 return
-            self._reported_s[window] = now_s
+            self._reported_at_s[window] = now_s
             if outcome in (base.Outcome.TAKEN, base.Outcome.INVALID):
                 committing.commit(
                     self._log,
@@ -218,7 +222,7 @@
                         )
                     ),
                 )
-                self._reported_s.pop(window, None)
+                self._reported_at_s.pop(window, None)
 
     # -- endpoints -----------------------------------------------------------
 
@@ -233,18 +237,22 @@
             self._order_service(service, metering.demand)
 
     def _read_list(self) -> bool:
-        """Reads the list where it is old; returns whether it can be used."""
+        """Fetches the list if it is old; returns whether it is usable."""
         now_s = self._clock.now_s()
-        pause_s = LIST_AWAITED_S if self._ordering.awaits else LIST_S
-        if now_s - self._listed_s >= pause_s:
+        interval_s = (
+            LIST_INTERVAL_PENDING_S
+            if self._ordering.awaits
+            else LIST_INTERVAL_S
+        )
+        if now_s - self._listed_at_s >= interval_s:
             try:
                 self._listed = self._sources.listing()
-                self._listed_s = now_s
+                self._listed_at_s = now_s
             except (errors.RouterError, ValueError) as error:
                 logs.event(
-                    "list of endpoints not read", "WARNING", detail=str(error)
+                    "endpoint list not read", "WARNING", detail=str(error)
                 )
-        return now_s - self._listed_s < LIST_LIFE_S
+        return now_s - self._listed_at_s < LIST_MAX_AGE_S
 
     def _order_service(
         self, service: schema.Service, demand: list[board.Demand]
@@ -253,17 +261,17 @@
         name = service.service
         fleets = ordering_module.count_endpoints(self._listed, name)
         scaler = self._scalers.setdefault(name, scaling.TargetUtilisation())
-        asked = {
+        domain_demand = {
             each.domain: scaling.DomainDemand(each.reading, each.running)
             for each in demand
             if each.service == name
         }
         present = {
-            # While one kind takes the place of the other both are there.
+            # While one kind replaces the other, both are present.
             domain: max(fleet.spot, fleet.regular)
             for domain, fleet in fleets.items()
         }
-        wanted = scaler.wanted(service, asked, present, now_s)
+        wanted = scaler.wanted(service, domain_demand, present, now_s)
         for order in self._ordering.due(service, wanted, fleets, now_s):
             if order.contradicts:
                 self._holding.take()
@@ -280,26 +288,26 @@
                 outcome=outcome.value,
                 contradicts=order.contradicts,
                 listed=repr(fleets.get(order.call.domain)),
-                list_age_s=round(now_s - self._listed_s, 3),
+                list_age_s=round(now_s - self._listed_at_s, 3),
                 wanted=wanted[order.call.domain],
                 demand={
                     domain: (round(each.reading, 2), each.running)
-                    for domain, each in asked.items()
+                    for domain, each in domain_demand.items()
                 },
             )
 
     def _call(self, call: base.DutyCall) -> base.Outcome | None:
-        """Makes a call; returns None where it may not be made now."""
-        space_s = 1.0 / self._settings.calls_per_s
+        """Makes a call; returns None if this process may not make it now."""
+        interval_s = 1.0 / self._settings.calls_per_s
         self._stop.wait(
-            max(self._called_s + space_s - self._clock.now_s(), 0.0)
+            max(self._called_at_s + interval_s - self._clock.now_s(), 0.0)
         )
         if not self._holding.may_call():
             return None
         holder = self._holding.holder
         assert holder is not None
         outcome = self._gateway.send(self._settings.url, call, holder)
-        self._called_s = self._clock.now_s()
+        self._called_at_s = self._clock.now_s()
         if outcome is not base.Outcome.TAKEN:
             logs.event(
                 "call to the platform not taken",
--- a/cardamombarrow/duties/settings.py
+++ b/cardamombarrow/duties/settings.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DutySettings:
-    """What one control process does at the platform for all."""
+    """Calls to the platform that one control process makes for all."""
 
     gateway: str = settings.setting(
         "own", help="duties plug-in that makes the calls"
@@ -29,21 +29,21 @@
     calls_per_s: float = settings.setting(
         10.0,
         unit="calls/s",
-        help="most calls in a second, of all control processes together",
+        help="maximum rate of calls, of all control processes together",
         low=0.1,
         high=10_000.0,
     )
     lease_ms: float = settings.setting(
         3_000.0,
         unit="ms",
-        help="time that a new holder leaves to the one before it",
+        help="time that a new holder waits before its first call",
         low=0.0,
         high=60_000.0,
     )
     window_s: float = settings.setting(
         5.0,
         unit="s",
-        help="length of a window of usage; the same as that of entries",
+        help="length of a usage window; must equal that of the entries",
         low=0.1,
         high=86_400.0,
     )
@@ -63,6 +63,6 @@
 
     @property
     def any_wanted(self) -> bool:
-        """Whether there is anything to do."""
+        """Whether any calls are configured."""
         wanted = self.reports_usage or self.orders_endpoints
         return bool(self.url) and wanted
--- a/cardamombarrow/duties/tests/test_machine.py
+++ b/cardamombarrow/duties/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Holders and reports, as the log applies them."""
+"""Tests of the state machine of holders and reports."""
 
 import hypothesis
 from hypothesis import stateful
@@ -13,11 +13,7 @@
 
 
 class DutiesMachine(stateful.RuleBasedStateMachine):
-    """Processes that take, commit and send in any order, also late ones.
-
-    Calls are handed to a platform that refuses lower tokens and carries some
-    calls out late.
-    """
+    """Processes that take, renew and commit in any order, some outdated."""
 
     def __init__(self):
         super().__init__()
@@ -78,7 +74,7 @@
     assert state.before == "a"
 
 
-def test_what_is_kept_is_bounded():
+def test_the_number_of_reports_is_bounded():
     state = machine.DutiesState()
     holder = state.take(ids.InstanceId("a"))
     for window in range(1_000):
--- a/cardamombarrow/duties/tests/test_ordering.py
+++ b/cardamombarrow/duties/tests/test_ordering.py
@@ -1,4 +1,4 @@
-"""Which orders are sent, against a platform that carries them out."""
+"""Tests of the planned orders, against a simulated platform."""
 
 import dataclasses
 
@@ -24,13 +24,13 @@
 
 
 class _Platform:
-    """Carries out orders after a start, and reclaims a domain's spot ones."""
+    """Carries out orders after the start time; may lack spot endpoints."""
 
     def __init__(self, regular=5):
         self.now_s = 0.0
         self.counts = {(d, False): regular for d in _DOMAINS}
         self.pending = []
-        self.dry = set()
+        self.without_spot_capacity = set()
         self.silent = False
         self.ordering = ordering_module.Ordering()
         self.sent = []
@@ -40,7 +40,7 @@
             return base.Outcome.UNKNOWN
         key = call.domain, call.spot
         more = call.count > self.counts.get(key, 0)
-        if call.spot and call.domain in self.dry and more:
+        if call.spot and call.domain in self.without_spot_capacity and more:
             return base.Outcome.REFUSED
         late_s = _SCALING.boot_s if more else 0.0
         self.pending.append((self.now_s + late_s, key, call.count))
@@ -81,8 +81,8 @@
     return _Platform()
 
 
-def test_cheap_endpoints_replace_the_dear_ones_once_they_serve(platform):
-    # Guards against a service without endpoints while others start.
+def test_spot_endpoints_replace_regular_ones_once_they_serve(platform):
+    # Guards against a service that has no endpoints while new ones start.
     for _ in range(40):
         platform.run(5, 0.5)
         assert all(platform.total(domain) >= 5 for domain in _DOMAINS)
@@ -93,32 +93,32 @@
     assert len(platform.sent) == before
 
 
-def test_a_reclaimed_domain_gets_dear_ones_while_no_cheap_one_is_there(
+def test_a_reclaimed_domain_gets_regular_endpoints_without_spot_capacity(
     platform,
 ):
-    # Guards against a domain that stays empty after its spot ones went.
+    # Guards against a domain that stays empty after a reclaim.
     platform.run(5, 30)
-    platform.dry.add(_DOMAINS[0])
+    platform.without_spot_capacity.add(_DOMAINS[0])
     platform.counts[_DOMAINS[0], True] = 0
     platform.run(5, 6)
     assert platform.counts[_DOMAINS[0], False] == 5
-    platform.dry.clear()
+    platform.without_spot_capacity.clear()
     platform.run(5, 30)
     assert platform.counts[_DOMAINS[0], True] == 5
     assert platform.counts[_DOMAINS[0], False] == 0
 
 
-def test_a_full_domain_goes_back_to_the_cheap_kind():
-    # Guards against dear endpoints that stay because they leave no room for
-    # the cheap ones that are to be had again.
+def test_a_full_domain_returns_to_spot_endpoints():
+    # Guards against regular endpoints that stay because they leave no room for
+    # the spot endpoints that are available again.
     platform = _Platform()
     platform.run(10, 40)
     assert platform.counts[_DOMAINS[0], True] == 10
-    platform.dry.add(_DOMAINS[0])
+    platform.without_spot_capacity.add(_DOMAINS[0])
     platform.counts[_DOMAINS[0], True] = 0
     platform.run(10, 8)
     assert platform.counts[_DOMAINS[0], False] == 8
-    platform.dry.clear()
+    platform.without_spot_capacity.clear()
     for _ in range(120):
         platform.run(10, 0.5)
         assert platform.total(_DOMAINS[0]) >= 10 - 2 * 2
@@ -126,7 +126,7 @@
     assert platform.counts[_DOMAINS[0], False] == 0
 
 
-def test_a_second_reclaim_is_answered_like_the_first(platform):
+def test_a_second_reclaim_is_handled_like_the_first(platform):
     platform.run(5, 30)
     for _ in range(2):
         platform.counts[_DOMAINS[0], True] = 0
@@ -156,9 +156,9 @@
     assert changed and changed[0].contradicts
 
 
-def test_a_call_without_an_answer_may_come_after_its_repeat(platform):
-    # Guards against a number that is undone seconds later by the first try of
-    # the order before it.
+def test_an_unanswered_call_may_be_carried_out_after_its_retry(platform):
+    # Guards against an order that is undone seconds later by the first attempt
+    # of the previous order.
     platform.silent = True
     platform.run(5, 1.0)
     platform.silent = False
@@ -183,7 +183,7 @@
     assert platform.counts[_DOMAINS[0], True] == 5
 
 
-def test_both_kinds_together_keep_to_the_bound():
+def test_both_kinds_together_stay_within_the_maximum():
     platform = _Platform(regular=8)
     platform.run(10, 0.5)
     spot = [order.call for order in platform.sent if order.call.spot]
@@ -192,7 +192,7 @@
     assert {platform.total(domain) for domain in _DOMAINS} == {10}
 
 
-def test_without_cheap_ones_the_dear_kind_is_ordered(platform):
+def test_without_spot_endpoints_regular_ones_are_ordered(platform):
     scaling = dataclasses.replace(_SCALING, spot_price=0.0)
     service = dataclasses.replace(_SERVICE, scaling=scaling)
     wanted = {_DOMAINS[0]: 7}
@@ -203,7 +203,7 @@
     assert not orders[0].call.spot
 
 
-def test_only_living_endpoints_of_the_service_are_counted():
+def test_only_live_endpoints_of_the_service_are_counted():
     def listed(service, state, spot):
         return discovery.ListedEndpoint(
             ids.EndpointId("10.0.0.1:1"),
--- a/cardamombarrow/duties/tests/test_runner.py
+++ b/cardamombarrow/duties/tests/test_runner.py
@@ -1,7 +1,7 @@
-"""Holders under faults, against a platform that refuses old tokens.
+"""Tests of holders under faults, with a platform that refuses old tokens.
 
-The platform checks what users are promised: one report of a window, one
-holder a token, orders in the sequence in which they were given.
+The platform checks the guarantees to users: one report for each window, one
+holder for each token, and orders that are carried out in sequence.
 """
 
 from concurrent import futures
@@ -46,7 +46,7 @@
 
 
 class _Log(local.LocalLog):
-    """One process's side of a log that all share."""
+    """One process's view of a shared log."""
 
     def __init__(self, world, name):
         super().__init__(name, world.state)
@@ -63,14 +63,14 @@
         return super().propose(command)
 
     def status(self):
-        leads = self._name in self._world.believers
+        leads = self._name in self._world.claimed_leaders
         return dataclasses.replace(
             super().status(), leader=self._name if leads else "another"
         )
 
 
 class _Gateway(base.Gateway):
-    """The platform; some calls get no answer and are carried out late."""
+    """The platform; may leave calls unanswered and carry them out delayed."""
 
     def __init__(self, world):
         self._world = world
@@ -80,7 +80,7 @@
         if mode == "busy":
             return base.Outcome.UNAVAILABLE
         if mode == "silent":
-            self._world.late.append((call, holder))
+            self._world.delayed.append((call, holder))
             return base.Outcome.UNKNOWN
         return self._world.carry_out(call, holder)
 
@@ -89,10 +89,10 @@
     def __init__(self):
         self.state = control_state.ControlState()
         self.clock = clock.ManualClock(100.0)
-        self.believers = {"a"}
+        self.claimed_leaders = {"a"}
         self.cut = set()
         self.mode = "well"
-        self.late = []
+        self.delayed = []
         self.counts = {}
         self.accepted = {}
         self.tokens = {}
@@ -145,15 +145,15 @@
         return _START_S + self.clock.now_s()
 
     def carry_out(self, call, holder):
-        matter = "usage"
+        subject = "usage"
         if isinstance(call, base.EndpointOrder):
-            matter = call.service, call.domain
+            subject = call.service, call.domain
         assert self.tokens.setdefault(holder.fencing, holder.instance) == (
             holder.instance
         )
-        if holder.fencing < self.newest.get(matter, 0):
+        if holder.fencing < self.newest.get(subject, 0):
             return base.Outcome.REFUSED
-        self.newest[matter] = holder.fencing
+        self.newest[subject] = holder.fencing
         if isinstance(call, base.UsageReport):
             first = self.accepted.setdefault(call.window, call.counts)
             assert first == call.counts
@@ -198,11 +198,11 @@
     )
 
 
-def test_another_holder_goes_on_where_the_first_one_died(world):
-    # Guards against windows that nobody reports after a holder's death.
+def test_another_holder_continues_after_the_first_one_failed(world):
+    # Guards against windows that are not reported after a holder has failed.
     world.run(22)
     world.cut.add("a")
-    world.believers = {"b"}
+    world.claimed_leaders = {"b"}
     world.run(30)
     windows = sorted(world.accepted)
     assert windows == list(range(windows[0], windows[-1] + 1))
@@ -218,15 +218,15 @@
         counts["trails"] += 5
     world.mode = "well"
     world.run(6)
-    for call, holder in world.late:
+    for call, holder in world.delayed:
         world.carry_out(call, holder)
 
 
-def test_a_new_holder_waits_for_a_lease(world):
-    # Guards against two holders that act in turn.
+def test_a_new_holder_waits_for_the_length_of_a_lease(world):
+    # Guards against calls of two holders that alternate.
     world.run(30)
     calls = len(world.accepted)
-    world.believers = {"b"}
+    world.claimed_leaders = {"b"}
     world.run(2.5)
     assert len(world.accepted) == calls
     assert all(name == "a" for name in world.tokens.values())
@@ -234,17 +234,17 @@
 
 def test_a_holder_that_was_frozen_sends_nothing_under_its_old_token(world):
     world.run(30)
-    world.believers = {"b"}
+    world.claimed_leaders = {"b"}
     world.look("b")
     tokens = dict(world.tokens)
-    world.believers = {"a", "b"}
+    world.claimed_leaders = {"a", "b"}
     world.clock.advance(1.0)
     world.look("a")
     assert world.tokens == tokens
 
 
 class HoldersMachine(stateful.RuleBasedStateMachine):
-    """Several that believe they lead, cuts, restarts, late calls."""
+    """Several claimed leaders, with cuts, restarts and delayed calls."""
 
     def __init__(self):
         super().__init__()
@@ -255,8 +255,8 @@
         self.world.run(seconds)
 
     @stateful.rule(names=strategies.sets(strategies.sampled_from("abc")))
-    def believe(self, names):
-        self.world.believers = names
+    def set_claimed_leaders(self, names):
+        self.world.claimed_leaders = names
 
     @stateful.rule(names=strategies.sets(strategies.sampled_from("abc")))
     def cut(self, names):
@@ -271,14 +271,14 @@
         self.world.restart(name)
 
     @stateful.rule(demand=strategies.sampled_from([0.1, 1.0, 5.0]))
-    def ask(self, demand):
+    def set_demand(self, demand):
         self.world.demand = demand
 
-    @stateful.precondition(lambda self: self.world.late)
-    @stateful.rule(place=strategies.integers(0, 100))
-    def carry_out_late(self, place):
-        late = self.world.late
-        call, holder = late.pop(place % len(late))
+    @stateful.precondition(lambda self: self.world.delayed)
+    @stateful.rule(index=strategies.integers(0, 100))
+    def carry_out_delayed(self, index):
+        delayed = self.world.delayed
+        call, holder = delayed.pop(index % len(delayed))
         self.world.carry_out(call, holder)
 
     @stateful.rule()
@@ -287,9 +287,9 @@
             counts["trails"] += 1
 
     def teardown(self):
-        """Whatever happened, the duties are done once all is well."""
+        """Checks that the duties are carried out once all faults are gone."""
         world = self.world
-        world.cut, world.believers, world.mode = set(), {"c"}, "well"
+        world.cut, world.claimed_leaders, world.mode = set(), {"c"}, "well"
         world.run(30)
         last = int((world.unix_s - _SETTINGS.usage_late_s) // 5) - 1
         assert last in world.accepted
--- a/cardamombarrow/duties/tests/test_windows.py
+++ b/cardamombarrow/duties/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""Which windows are due."""
+"""Tests of the schedule of usage reports."""
 
 from cardamombarrow.duties import machine
 from cardamombarrow.duties import windows
@@ -15,23 +15,23 @@
     return state
 
 
-def test_a_window_waits_for_those_who_tell_late():
+def test_a_window_waits_for_late_counts():
     state = _committed()
     assert windows.due_windows(state, 10, 59.9, _TIMES) == []
     assert windows.due_windows(state, 10, 60.0, _TIMES) == [10]
 
 
-def test_a_new_holder_catches_up_what_is_missing():
+def test_a_new_holder_reports_missing_windows():
     state = _committed(10, 12)
     assert windows.due_windows(state, 10, 76.0, _TIMES) == [11, 13]
 
 
-def test_windows_of_long_ago_are_not_reported():
+def test_old_windows_are_not_reported():
     due = windows.due_windows(_committed(), 10, 5_000.0, _TIMES)
     assert len(due) == windows.MOST_CAUGHT_UP
 
 
-def test_what_was_not_taken_is_sent_again():
+def test_a_report_that_was_not_taken_stays_open():
     state = _committed(10, 11)
     state.settle(10)
     assert windows.open_windows(state) == [11]
--- a/cardamombarrow/duties/windows.py
+++ b/cardamombarrow/duties/windows.py
@@ -1,9 +1,9 @@
-"""Which windows of usage are reported when.
+"""Schedule of the usage reports.
 
-Load pattern: entries tell their totals once a second, and a link that is cut
-or a process that restarts tells them some seconds later. A report that is
-committed can't be corrected, so it waits for half of the time in which it is
-due; the other half is left for a platform that does not answer.
+Load pattern: entries report their totals once a second; after a cut link or a
+restart some seconds later. A committed report can't be corrected, so the commit
+waits for half of the time in which the report is due. The other half remains
+for retries if the platform does not answer.
 """
 
 import dataclasses
@@ -12,16 +12,16 @@
 
 __all__ = ["UsageTimes", "due_windows", "open_windows"]
 
-WAIT_SHARE = 0.5
+COMMIT_DELAY_SHARE = 0.5
 """Part of the time in which a report is due that passes before its commit."""
 
 MOST_CAUGHT_UP = 6
-"""Windows that a holder reports late, at most: older counts are gone."""
+"""Most windows reported late; the counts of older ones are dropped."""
 
 
 @dataclasses.dataclass(frozen=True)
 class UsageTimes:
-    """When usage is due.
+    """Times at which usage reports are due.
 
     Attributes:
         window_s: Length of a window.
@@ -41,13 +41,13 @@
     """Returns the windows to commit now, the oldest first.
 
     Args:
-        state: What was committed.
-        first_window: The first window that this group ever counted.
-        unix_s: The time of day that is agreed on.
-        times: When usage is due.
+        state: The committed reports.
+        first_window: The first window that this group has counted.
+        unix_s: Agreed time of day, Unix seconds.
+        times: Times at which reports are due.
     """
-    ended_s = unix_s - WAIT_SHARE * times.late_s
-    last = int(ended_s // times.window_s) - 1
+    committable_s = unix_s - COMMIT_DELAY_SHARE * times.late_s
+    last = int(committable_s // times.window_s) - 1
     first = max(first_window, last - MOST_CAUGHT_UP + 1)
     return [w for w in range(first, last + 1) if w not in state.reports]
 
