--- a/benchmarks/scaling.py
+++ b/benchmarks/scaling.py
@@ -15,7 +15,7 @@
 from cardamombarrow.decisions import scaling
 from cardamombarrow.document import schema
 from cardamombarrow.duties import base
-from cardamombarrow.duties import ordering
+from cardamombarrow.duties import order_planner
 from cardamombarrow.kernel import ids
 
 __all__ = ["PATTERNS", "WAYS", "Result", "main", "play"]
@@ -136,9 +136,9 @@
             for domain in DOMAINS[: self._pattern.reclaimed]:
                 self.counts[domain, True] = 0
 
-    def fleets(self) -> dict[ids.DomainId, ordering.Fleet]:
+    def fleets(self) -> dict[ids.DomainId, order_planner.Fleet]:
         return {
-            domain: ordering.Fleet(
+            domain: order_planner.Fleet(
                 self.counts.get((domain, True), 0),
                 self.counts.get((domain, False), 0),
             )
@@ -155,7 +155,11 @@
 
 def play(way: type[scaling.Scaler], pattern: Pattern) -> Result:
     """Plays one pattern with one way."""
-    platform, scaler, orders = _Platform(pattern), way(), ordering.Ordering()
+    platform, scaler, orders = (
+        _Platform(pattern),
+        way(),
+        order_planner.OrderPlanner(),
+    )
     known: list[tuple[float, dict]] = []
     late = asked = price = 0.0
     calls = 0
@@ -177,9 +181,9 @@
 def _order(
     way: type[scaling.Scaler],
     scaler: scaling.Scaler,
-    orders: ordering.Ordering,
+    orders: order_planner.OrderPlanner,
     platform: _Platform,
-    known: tuple[float, dict[ids.DomainId, ordering.Fleet]],
+    known: tuple[float, dict[ids.DomainId, order_planner.Fleet]],
 ) -> int:
     load, fleets = known
     if way is scaling.Unchanged:
@@ -189,7 +193,7 @@
     demand = dict.fromkeys(DOMAINS, share) if load else {}
     wanted = scaler.wanted(SERVICE, demand, present, platform.now_s)
     calls = 0
-    for order in orders.due(SERVICE, wanted, fleets, platform.now_s):
+    for order in orders.due_orders(SERVICE, wanted, fleets, platform.now_s):
         outcome = platform.take(order.call)
         orders.record(order, outcome, platform.now_s)
         calls += 1
--- a/cardamombarrow/control/core.py
+++ b/cardamombarrow/control/core.py
@@ -19,7 +19,7 @@
 from cardamombarrow.document import parsing
 from cardamombarrow.document import schema
 from cardamombarrow.duties import base as duties_base
-from cardamombarrow.duties import holding as holding_module
+from cardamombarrow.duties import lease as lease_module
 from cardamombarrow.duties import runner as duties_runner
 from cardamombarrow.kernel import clock
 from cardamombarrow.kernel import errors
@@ -321,7 +321,7 @@
 ) -> duties_runner.DutiesRunner:
     duties = settings.duties
     source = registry.lookup(discovery.SLOT, duties.discovery)()
-    holding = holding_module.Holding(
+    duties_lease = lease_module.DutiesLease(
         log,
         ids.InstanceId(duties.holder or settings.instance.id),
         duties.lease_ms / 1_000,
@@ -330,7 +330,7 @@
     return duties_runner.DutiesRunner(
         duties,
         log,
-        holding,
+        duties_lease,
         registry.lookup(duties_base.SLOT, duties.gateway)(),
         duties_runner.Sources(
             metering=peers.metering,
@@ -383,7 +383,7 @@
         )
     )
     orders = list
-    if settings.duties.any_wanted:
+    if settings.duties.is_enabled:
         duties = _duties(settings, log, state, peers)
         parts.append(duties)
         orders = duties.orders
--- a/cardamombarrow/duties/holding.py
+++ b/cardamombarrow/duties/lease.py
@@ -15,13 +15,13 @@
 from cardamombarrow.peers import committing
 from cardamombarrow.peers import control_pb2
 
-__all__ = ["Holding"]
+__all__ = ["DutiesLease"]
 
 CONFIRMED_SHARE = 0.25
 """Part of a lease for which one confirmation is valid."""
 
 
-class Holding:
+class DutiesLease:
     """This process's lease of the duties; used by one thread."""
 
     def __init__(
@@ -44,13 +44,13 @@
         """This process and its fencing token; None if it is not the holder."""
         return self._holder
 
-    def leads(self) -> bool:
+    def check_leadership(self) -> bool:
         """Returns whether this process leads the log; releases if not."""
         status = self._log.status()
-        leads = status.leader == status.voter and status.has_quorum
-        if not leads and self._holder is not None:
+        check_leadership = status.leader == status.voter and status.has_quorum
+        if not check_leadership and self._holder is not None:
             self.release("no longer leader of the log")
-        return leads
+        return check_leadership
 
     def release(self, reason: str) -> None:
         """Gives up the duties; the token is not used again."""
@@ -117,7 +117,7 @@
         age_s = self._clock.now_s() - self._confirmed_s
         return age_s <= CONFIRMED_SHARE * self._lease_s
 
-    def refused(self) -> bool:
+    def confirm_after_refusal(self) -> bool:
         """Checks through the log who the holder is after a refused call.
 
         Returns:
--- a/cardamombarrow/duties/machine.py
+++ b/cardamombarrow/duties/machine.py
@@ -18,7 +18,7 @@
 MAX_SETTLED = 16
 """Stored windows whose report the platform has taken."""
 
-OPEN_KEPT = 64
+MAX_OPEN = 64
 """Stored windows whose report is not taken; the oldest are dropped."""
 
 
@@ -98,7 +98,7 @@
 
     def _oldest(self) -> int:
         newest = self.last_window
-        return 0 if newest is None else newest - OPEN_KEPT
+        return 0 if newest is None else newest - MAX_OPEN
 
     def _trim(self) -> None:
         oldest = self._oldest()
--- a/cardamombarrow/duties/ordering.py
+++ b/cardamombarrow/duties/order_planner.py
@@ -19,7 +19,7 @@
 from cardamombarrow.duties import base
 from cardamombarrow.kernel import ids
 
-__all__ = ["Fleet", "Order", "Ordering", "count_endpoints"]
+__all__ = ["Fleet", "Order", "OrderPlanner", "count_endpoints"]
 
 REFUSED_RETRY_S = 8.0
 """Time until a refused order is sent again."""
@@ -99,13 +99,13 @@
     }
 
 
-class Ordering:
+class OrderPlanner:
     """Plans and records the orders of one holder since it took the duties."""
 
     def __init__(self):
         self._sent: dict[_OrderKey, _Sent] = {}
 
-    def due(
+    def due_orders(
         self,
         service: schema.Service,
         wanted: abc.Mapping[ids.DomainId, int],
@@ -197,7 +197,7 @@
                 call, contradicts=may_be_delayed and count != sent.count
             )
 
-    def view(self) -> list[dict[str, typing.Any]]:
+    def last_orders(self) -> list[dict[str, typing.Any]]:
         """Returns the last order of each kind, as plain JSON values."""
         return [
             {
@@ -211,7 +211,7 @@
         ]
 
     @property
-    def awaits(self) -> bool:
+    def has_pending_orders(self) -> bool:
         """Whether a taken order does not show in the list yet."""
         return any(
             sent.outcome is base.Outcome.TAKEN and sent.count != sent.seen
--- a/cardamombarrow/duties/runner.py
+++ b/cardamombarrow/duties/runner.py
@@ -9,9 +9,9 @@
 from cardamombarrow.discovery import base as discovery
 from cardamombarrow.document import schema
 from cardamombarrow.duties import base
-from cardamombarrow.duties import holding as holding_module
+from cardamombarrow.duties import lease as lease_module
 from cardamombarrow.duties import machine
-from cardamombarrow.duties import ordering as ordering_module
+from cardamombarrow.duties import order_planner as order_planner_module
 from cardamombarrow.duties import settings as settings_module
 from cardamombarrow.duties import windows
 from cardamombarrow.kernel import clock
@@ -83,23 +83,23 @@
         self,
         settings: settings_module.DutySettings,
         log: log_base.Log,
-        holding: holding_module.Holding,
+        lease: lease_module.DutiesLease,
         gateway: base.Gateway,
         sources: Sources,
         time_source: clock.Clock,
     ):
         self._settings = settings
         self._log = log
-        self._holding = holding
+        self._lease = lease
         self._gateway = gateway
         self._sources = sources
         self._clock = time_source
-        self._usage_times = windows.UsageTimes(
+        self._usage_times = windows.UsageSchedule(
             settings.window_s, settings.usage_late_s
         )
         self._first_window: int | None = None
         self._reported_at_s: dict[int, float] = {}
-        self._ordering = ordering_module.Ordering()
+        self._planner = order_planner_module.OrderPlanner()
         self._scalers: dict[ids.ServiceId, scaling.Scaler] = {}
         self._listed: list[discovery.ListedEndpoint] = []
         self._listed_at_s = float("-inf")
@@ -120,32 +120,32 @@
 
     def orders(self) -> list[dict[str, typing.Any]]:
         """Returns the last endpoint orders; empty if not the holder."""
-        return self._ordering.view() if self._holding.holder else []
+        return self._planner.last_orders() if self._lease.holder else []
 
     def _run(self) -> None:
         while not self._stop.wait(CHECK_INTERVAL_S):
             try:
-                self.look()
+                self.run_once()
             except errors.RouterError as error:
                 # The next check starts from the state of the log.
                 logs.event(
                     "duties check failed", "WARNING", detail=error.detail
                 )
 
-    def look(self) -> None:
+    def run_once(self) -> None:
         """Makes the calls that are due now.
 
         Raises:
             errors.RouterError: The log did not answer; the next check
                 continues from its state.
         """
-        if not self._holding.leads():
+        if not self._lease.check_leadership():
             self._first_window = None
             return
         metering = self._sources.metering()
         if metering is None:
             return
-        if self._holding.holder is None:
+        if self._lease.holder is None:
             self._take(metering)
         if self._settings.reports_usage:
             self._commit_usage(metering)
@@ -154,8 +154,8 @@
             self._order_endpoints(metering)
 
     def _take(self, metering: MeteringView) -> None:
-        self._holding.take()
-        self._ordering = ordering_module.Ordering()
+        self._lease.take()
+        self._planner = order_planner_module.OrderPlanner()
         last = self._sources.state().last_window
         self._first_window = (
             int(metering.unix_s // self._usage_times.window_s)
@@ -166,7 +166,7 @@
     # -- usage ---------------------------------------------------------------
 
     def _commit_usage(self, metering: MeteringView) -> None:
-        holder = self._holding.holder
+        holder = self._lease.holder
         state = self._sources.state()
         if holder is None or self._first_window is None:
             return
@@ -199,7 +199,7 @@
             )
             if not reply.committed:
                 # Another process has taken the duties.
-                self._holding.refused()
+                self._lease.confirm_after_refusal()
                 return
 
     def _report_usage(self) -> None:
@@ -241,7 +241,7 @@
         now_s = self._clock.now_s()
         interval_s = (
             LIST_INTERVAL_PENDING_S
-            if self._ordering.awaits
+            if self._planner.has_pending_orders
             else LIST_INTERVAL_S
         )
         if now_s - self._listed_at_s >= interval_s:
@@ -259,7 +259,7 @@
     ) -> None:
         now_s = self._clock.now_s()
         name = service.service
-        fleets = ordering_module.count_endpoints(self._listed, name)
+        fleets = order_planner_module.count_endpoints(self._listed, name)
         scaler = self._scalers.setdefault(name, scaling.TargetUtilisation())
         domain_demand = {
             each.domain: scaling.DomainDemand(each.reading, each.running)
@@ -272,13 +272,13 @@
             for domain, fleet in fleets.items()
         }
         wanted = scaler.wanted(service, domain_demand, present, now_s)
-        for order in self._ordering.due(service, wanted, fleets, now_s):
+        for order in self._planner.due_orders(service, wanted, fleets, now_s):
             if order.contradicts:
-                self._holding.take()
+                self._lease.take()
             outcome = self._call(order.call)
             if outcome is None:
                 return
-            self._ordering.record(order, outcome, self._clock.now_s())
+            self._planner.record(order, outcome, self._clock.now_s())
             logs.decision(
                 "order endpoints",
                 service=name,
@@ -302,9 +302,9 @@
         self._stop.wait(
             max(self._called_at_s + interval_s - self._clock.now_s(), 0.0)
         )
-        if not self._holding.may_call():
+        if not self._lease.may_call():
             return None
-        holder = self._holding.holder
+        holder = self._lease.holder
         assert holder is not None
         outcome = self._gateway.send(self._settings.url, call, holder)
         self._called_at_s = self._clock.now_s()
@@ -316,6 +316,9 @@
                 fencing=holder.fencing,
                 outcome=outcome.value,
             )
-        if outcome is base.Outcome.REFUSED and not self._holding.refused():
+        if (
+            outcome is base.Outcome.REFUSED
+            and not self._lease.confirm_after_refusal()
+        ):
             return None
         return outcome
--- a/cardamombarrow/duties/settings.py
+++ b/cardamombarrow/duties/settings.py
@@ -62,7 +62,7 @@
     )
 
     @property
-    def any_wanted(self) -> bool:
+    def is_enabled(self) -> bool:
         """Whether any calls are configured."""
         wanted = self.reports_usage or self.orders_endpoints
         return bool(self.url) and wanted
--- a/cardamombarrow/duties/tests/test_machine.py
+++ b/cardamombarrow/duties/tests/test_machine.py
@@ -81,5 +81,5 @@
         state.commit(window, {"trails": 1}, holder)
         if window % 2:
             state.settle(window)
-    assert len(state.reports) <= machine.OPEN_KEPT + 1
+    assert len(state.reports) <= machine.MAX_OPEN + 1
     assert state.commit(5, {"trails": 1}, holder) is None
--- a/cardamombarrow/duties/tests/test_ordering.py
+++ b/cardamombarrow/duties/tests/test_order_planner.py
@@ -7,7 +7,7 @@
 from cardamombarrow.discovery import base as discovery
 from cardamombarrow.document import schema
 from cardamombarrow.duties import base
-from cardamombarrow.duties import ordering as ordering_module
+from cardamombarrow.duties import order_planner as order_planner_module
 from cardamombarrow.kernel import ids
 
 _DOMAINS = [ids.DomainId(name) for name in ("north", "south", "west")]
@@ -32,7 +32,7 @@
         self.pending = []
         self.without_spot_capacity = set()
         self.silent = False
-        self.ordering = ordering_module.Ordering()
+        self.planner = order_planner_module.OrderPlanner()
         self.sent = []
 
     def take(self, call):
@@ -48,7 +48,7 @@
 
     def fleets(self):
         return {
-            domain: ordering_module.Fleet(
+            domain: order_planner_module.Fleet(
                 self.counts.get((domain, True), 0),
                 self.counts.get((domain, False), 0),
             )
@@ -67,12 +67,12 @@
             self.pending = [p for p in self.pending if p not in due]
             for _, key, count in due:
                 self.counts[key] = count
-            for order in self.ordering.due(
+            for order in self.planner.due_orders(
                 _SERVICE, wanted, self.fleets(), self.now_s
             ):
                 outcome = self.take(order.call)
                 self.sent.append(order)
-                self.ordering.record(order, outcome, self.now_s)
+                self.planner.record(order, outcome, self.now_s)
             self.now_s += 0.5
 
 
@@ -197,7 +197,7 @@
     service = dataclasses.replace(_SERVICE, scaling=scaling)
     wanted = {_DOMAINS[0]: 7}
     orders = list(
-        platform.ordering.due(service, wanted, platform.fleets(), 0.0)
+        platform.planner.due_orders(service, wanted, platform.fleets(), 0.0)
     )
     assert [order.call.count for order in orders] == [7]
     assert not orders[0].call.spot
@@ -221,5 +221,5 @@
         listed("writer", leaving, True),
         listed("desk", live, False),
     ]
-    fleets = ordering_module.count_endpoints(items, _SERVICE.service)
-    assert fleets == {_DOMAINS[0]: ordering_module.Fleet(1, 1)}
+    fleets = order_planner_module.count_endpoints(items, _SERVICE.service)
+    assert fleets == {_DOMAINS[0]: order_planner_module.Fleet(1, 1)}
--- a/cardamombarrow/duties/tests/test_runner.py
+++ b/cardamombarrow/duties/tests/test_runner.py
@@ -16,7 +16,7 @@
 from cardamombarrow.discovery import base as discovery
 from cardamombarrow.document import schema
 from cardamombarrow.duties import base
-from cardamombarrow.duties import holding as holding_module
+from cardamombarrow.duties import lease as lease_module
 from cardamombarrow.duties import runner as runner_module
 from cardamombarrow.duties import settings as duty_settings
 from cardamombarrow.kernel import clock
@@ -106,7 +106,9 @@
         return runner_module.DutiesRunner(
             _SETTINGS,
             log,
-            holding_module.Holding(log, ids.InstanceId(name), 3.0, self.clock),
+            lease_module.DutiesLease(
+                log, ids.InstanceId(name), 3.0, self.clock
+            ),
             _Gateway(self),
             runner_module.Sources(
                 metering=self._metering,
@@ -161,9 +163,9 @@
             self.orders.append(call)
         return base.Outcome.TAKEN
 
-    def look(self, name):
+    def run_once(self, name):
         try:
-            self.runners[name].look()
+            self.runners[name].run_once()
         except errors.RouterError:
             assert name in self.cut
 
@@ -178,7 +180,7 @@
             counts["trails"] += 1
             self.clock.advance(0.5)
             for name in self.runners:
-                self.look(name)
+                self.run_once(name)
 
 
 @pytest.fixture
@@ -235,11 +237,11 @@
 def test_a_holder_that_was_frozen_sends_nothing_under_its_old_token(world):
     world.run(30)
     world.claimed_leaders = {"b"}
-    world.look("b")
+    world.run_once("b")
     tokens = dict(world.tokens)
     world.claimed_leaders = {"a", "b"}
     world.clock.advance(1.0)
-    world.look("a")
+    world.run_once("a")
     assert world.tokens == tokens
 
 
--- a/cardamombarrow/duties/tests/test_windows.py
+++ b/cardamombarrow/duties/tests/test_windows.py
@@ -4,7 +4,7 @@
 from cardamombarrow.duties import windows
 from cardamombarrow.kernel import ids
 
-_TIMES = windows.UsageTimes(5.0, 10.0)
+_TIMES = windows.UsageSchedule(5.0, 10.0)
 
 
 def _committed(*numbers):
@@ -28,7 +28,7 @@
 
 def test_old_windows_are_not_reported():
     due = windows.due_windows(_committed(), 10, 5_000.0, _TIMES)
-    assert len(due) == windows.MOST_CAUGHT_UP
+    assert len(due) == windows.MAX_CATCH_UP
 
 
 def test_a_report_that_was_not_taken_stays_open():
--- a/cardamombarrow/duties/windows.py
+++ b/cardamombarrow/duties/windows.py
@@ -10,33 +10,33 @@
 
 from cardamombarrow.duties import machine
 
-__all__ = ["UsageTimes", "due_windows", "open_windows"]
+__all__ = ["UsageSchedule", "due_windows", "open_windows"]
 
 COMMIT_DELAY_SHARE = 0.5
 """Part of the time in which a report is due that passes before its commit."""
 
-MOST_CAUGHT_UP = 6
+MAX_CATCH_UP = 6
 """Most windows reported late; the counts of older ones are dropped."""
 
 
 @dataclasses.dataclass(frozen=True)
-class UsageTimes:
+class UsageSchedule:
     """Times at which usage reports are due.
 
     Attributes:
         window_s: Length of a window.
-        late_s: Time after its end within which its report is due.
+        due_within_s: Time after its end within which its report is due.
     """
 
     window_s: float
-    late_s: float
+    due_within_s: float
 
 
 def due_windows(
     state: machine.DutiesState,
     first_window: int,
     unix_s: float,
-    times: UsageTimes,
+    times: UsageSchedule,
 ) -> list[int]:
     """Returns the windows to commit now, the oldest first.
 
@@ -46,9 +46,9 @@
         unix_s: Agreed time of day, Unix seconds.
         times: Times at which reports are due.
     """
-    committable_s = unix_s - COMMIT_DELAY_SHARE * times.late_s
+    committable_s = unix_s - COMMIT_DELAY_SHARE * times.due_within_s
     last = int(committable_s // times.window_s) - 1
-    first = max(first_window, last - MOST_CAUGHT_UP + 1)
+    first = max(first_window, last - MAX_CATCH_UP + 1)
     return [w for w in range(first, last + 1) if w not in state.reports]
 
 
