--- a/cardamombarrow/orders/engines.py
+++ b/cardamombarrow/orders/engines.py
@@ -1,8 +1,8 @@
-"""How engines are asked what they hold, and told what to load.
+"""Client of the engines' HTTP calls for loaded models and orders.
 
 ``GET /v1/models`` answers OpenAI's list with a ``state`` of ``loaded`` or
 ``loading`` for each model. ``POST /v1/orders`` takes an order with its
-fencing token; an engine that checks answers 409 to an old one.
+fencing token; engines that check tokens answer 409 to an old one.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 
 def observe(endpoint: ids.EndpointId) -> plan.Observed | None:
-    """Asks an engine what it holds; None when it does not answer."""
+    """Reads what an engine has loaded; None if it does not answer."""
     try:
         reply = http_get.fetch(
             f"http://{endpoint}/v1/models", timeout_s=OBSERVE_TIMEOUT_S
@@ -38,11 +38,11 @@
 
 
 def send(order: plan.Order, fencing: int) -> bool:
-    """Gives an order; returns whether the engine took it.
+    """Sends an order; returns whether the engine accepted it.
 
     Raises:
-        errors.EndpointError: No answer came in time; the order may have been
-            taken. The next look at the engine tells.
+        errors.EndpointError: No answer came in time. The engine may have
+            accepted the order; the next observation shows it.
     """
     body = {
         "kind": order.kind.value,
--- a/cardamombarrow/orders/lease.py
+++ b/cardamombarrow/orders/lease.py
@@ -1,16 +1,16 @@
-"""When a holder may send an order to an engine that checks no token.
-
-Such an engine obeys whoever speaks last. A holder that was cut off or frozen
-must have stopped before the next one starts, and the two cannot ask each
-other. Both keep to a lease: a holder sends only within `LEASE_S` of the
-moment at which it *asked* for its last renewal, less a margin for the order's
-own way; a new holder sends nothing until `LEASE_S` has passed since it
-learned that it holds. Each measures on its own monotonic clock, so wall
-clocks do not matter; the margin covers clocks that run at different speeds.
-
-What is left: an order that the network holds back for longer than
-`SEND_TIMEOUT_S` after the connection was closed on our side. Engines that
-check tokens have no such gap.
+"""The lease under which orders go to engines that don't check tokens.
+
+Such an engine carries out every order. A holder that was cut off or frozen
+must have stopped before the next one starts, and the two can't reach each
+other. So a holder sends only within `LEASE_S` of the time at which it
+*requested* its last renewal, less a margin for the transfer of the order. A new
+holder sends nothing until `LEASE_S` after it has acquired the lease. Each
+measures on its own monotonic clock, so wall clocks do not matter; the margin
+covers clocks that run at different speeds.
+
+Remaining risk: an order that the network delays for longer than
+`SEND_TIMEOUT_S` after the connection was closed on this side. Engines that
+check tokens refuse it.
 """
 
 from cardamombarrow.orders import machine
@@ -18,36 +18,38 @@
 __all__ = ["LEASE_S", "SEND_TIMEOUT_S", "Lease"]
 
 LEASE_S = 15.0
-"""Long beside a renewal (one commit), short beside the loading of a model."""
+"""Far longer than a renewal (one commit), far shorter than a model load."""
 
 SEND_TIMEOUT_S = 3.0
-"""An order that is not answered by then is given up and its link closed."""
+"""Time after which an order is given up and its connection closed."""
 
 DRIFT_SHARE = 0.01
-"""Clocks that run apart by more than this are broken."""
+"""Largest difference in speed between working clocks."""
 
 
 class Lease:
-    """One holder's view of its lease."""
+    """The lease of one holder, measured on its own clock."""
 
     def __init__(self, holder: machine.Holder, learned_s: float):
         self.holder = holder
         self._learned_s = learned_s
-        self._asked_s = -LEASE_S
+        self._requested_s = -LEASE_S
 
-    def renewed(self, asked_s: float) -> None:
-        """Takes a renewal that was asked for at `asked_s`."""
-        self._asked_s = max(self._asked_s, asked_s)
+    def renewed(self, requested_s: float) -> None:
+        """Records a successful renewal that was requested at `requested_s`."""
+        self._requested_s = max(self._requested_s, requested_s)
 
     def may_send(self, now_s: float, *, checks_token: bool) -> bool:
-        """Tells whether an order may be sent now.
+        """Returns whether an order may be sent now.
 
         Args:
             now_s: Monotonic time.
             checks_token: Whether the engine refuses an old token.
         """
-        last_s = self._asked_s + LEASE_S * (1 - DRIFT_SHARE) - SEND_TIMEOUT_S
-        if now_s > last_s:
+        latest_s = (
+            self._requested_s + LEASE_S * (1 - DRIFT_SHARE) - SEND_TIMEOUT_S
+        )
+        if now_s > latest_s:
             return False
         if checks_token:
             return True
--- a/cardamombarrow/orders/machine.py
+++ b/cardamombarrow/orders/machine.py
@@ -1,9 +1,9 @@
-"""Who may give orders, as a state machine on the replicated log.
+"""The process that may send orders, as a state machine on the replicated log.
 
-Two control processes that both believe to lead could order an engine back and
-forth, and each load costs minutes and a turn at the weight store. So orders
-carry a fencing token that grows with each new holder: an engine that checks
-refuses the smaller one. For engines that do not check, see `lease`.
+Two control processes that both act as leader could make an engine load models
+back and forth; each load takes minutes and a share of the weight store's rate.
+So orders carry a fencing token that grows with each new holder, and engines
+that check tokens refuse the smaller one. For other engines see `lease`.
 """
 
 import dataclasses
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Holder:
-    """The control process that may give orders.
+    """The control process that may send orders.
 
     Attributes:
-        fencing: Token of its term; grows by one with each new holder.
+        fencing: Fencing token; grows by one with each new holder.
     """
 
     instance: ids.InstanceId
@@ -26,7 +26,7 @@
 
 
 class OrdersState:
-    """The present holder; the same at every voter."""
+    """The current holder; the same at every voter."""
 
     def __init__(self):
         self.holder = Holder(ids.InstanceId(""), 0)
@@ -34,17 +34,17 @@
     def take(self, instance: ids.InstanceId) -> Holder:
         """Makes a control process the holder, under a new token.
 
-        It takes a new token even if it held the last one: after a restart it
-        does not know what it ordered before.
+        The token is new even if the process is the holder already: after a
+        restart it does not have its earlier orders.
         """
         self.holder = Holder(instance, self.holder.fencing + 1)
         return self.holder
 
     def renew(self, holder: Holder) -> bool:
-        """Tells whether a holder is still the one.
+        """Returns whether this is still the holder.
 
-        Going through the log, the answer is true only if a majority still
-        followed when it was committed.
+        The call goes through the log, so it returns True only if a majority
+        still followed the leader when it was committed.
         """
         return holder == self.holder
 
--- a/cardamombarrow/orders/plan.py
+++ b/cardamombarrow/orders/plan.py
@@ -1,11 +1,11 @@
-"""Which order comes next: from what the document wants and what is loaded.
+"""Plans orders from the document and the models that engines have loaded.
 
 Load pattern: a rollout. The document names a new version; if every endpoint
 of the service loaded it at once, none would serve meanwhile, and all would
 queue at the weight store, whose rate is limited. So few endpoints of a
-service load at a time, and all loads together keep to the store's rate.
-Without this module a rollout takes a service down for as long as the store
-needs for all its endpoints.
+service load at a time, and all loads together stay within the store's rate.
+Otherwise a rollout would take a service down until the store has served all
+its endpoints.
 """
 
 import collections
@@ -26,15 +26,15 @@
 ]
 
 LOADING_SHARE = 0.25
-"""Part of a service's endpoints that load at once; at least one does.
+"""Part of a service's endpoints that load at once; at least one.
 
-A quarter away leaves room for the usual peak over mean; one of two or three
-is more than a quarter, but a service of that size has no smaller step.
+The remaining three quarters can serve the usual peak over the mean. One of two
+or three endpoints is more than a quarter, but no smaller step exists.
 """
 
 
 class OrderKind(enum.Enum):
-    """What an engine is told."""
+    """Kind of an order to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -45,7 +45,7 @@
     """One order to one engine.
 
     Attributes:
-        artifact: Model or version, as requests name it to the engine.
+        artifact: Model or version, by the name that requests use.
     """
 
     endpoint: ids.EndpointId
@@ -55,17 +55,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Observed:
-    """What an engine says it holds."""
+    """Models and versions that an engine reports, by state."""
 
     loaded: frozenset[str]
     loading: frozenset[str]
 
 
 class LoadRate:
-    """Spaces loads evenly, so that no minute has more than the store allows.
+    """Spaces loads evenly, so that no minute exceeds the store's limit.
 
-    Nothing is saved up while idle: a bucket that fills would let twice the
-    limit through in the minute after a pause.
+    Unused capacity does not accumulate: a token bucket would allow twice the
+    limit in the minute after a pause.
     """
 
     def __init__(self, loads_per_minute: float):
@@ -83,10 +83,10 @@
 def wanted(
     document: schema.Document, service: schema.Service
 ) -> frozenset[str]:
-    """Returns what every endpoint of a service should hold.
+    """Returns the models and versions that a service's endpoints should load.
 
-    A version of weight 0 is loaded too and gets no traffic: an operator loads
-    it first, sees that it is there, and then moves the weight.
+    They include versions of weight 0, which get no traffic: an operator first
+    loads a version, checks that it is loaded, and then gives it a weight.
     """
     names: set[str] = set()
     for model in document.models.values():
@@ -101,11 +101,11 @@
     rate: LoadRate,
     now_s: float,
 ) -> abc.Iterator[Order]:
-    """Yields the orders that may be given now.
+    """Yields the orders that may be sent now.
 
     Args:
-        document: What is wanted.
-        observed: What each engine holds; engines that did not answer are
+        document: The document in force.
+        observed: What each engine has loaded; engines that did not answer are
             missing, and get no orders.
         rate: The weight store's limit; each load yielded takes from it.
         now_s: Monotonic time.
@@ -124,16 +124,16 @@
 ) -> abc.Iterator[Order]:
     want = wanted(document, service)
     endpoints = [e for group in service.endpoints.values() for e in group]
-    known = [e for e in endpoints if e in observed]
-    loading = sum(1 for e in known if observed[e].loading)
-    most = max(1, int(len(endpoints) * LOADING_SHARE))
+    reachable = [e for e in endpoints if e in observed]
+    loading = sum(1 for e in reachable if observed[e].loading)
+    max_loading = max(1, int(len(endpoints) * LOADING_SHARE))
     holders = collections.Counter(
-        name for e in known for name in observed[e].loaded
+        name for e in reachable for name in observed[e].loaded
     )
-    for endpoint in known:
+    for endpoint in reachable:
         state = observed[endpoint]
         missing = sorted(want - state.loaded - state.loading)
-        if missing and not state.loading and loading < most:
+        if missing and not state.loading and loading < max_loading:
             if not rate.take(now_s):
                 return
             loading += 1
@@ -141,7 +141,7 @@
             continue
         if missing or state.loading:
             continue
-        # Only an engine that has all that is wanted gives up the rest, so
+        # Only an engine that has loaded everything wanted unloads the rest, so
         # that a rollout never leaves a service without any version.
         for name in sorted(state.loaded - want):
             if holders[name]:
--- a/cardamombarrow/orders/runner.py
+++ b/cardamombarrow/orders/runner.py
@@ -1,4 +1,4 @@
-"""Gives orders while this control process leads the log."""
+"""Sends orders to engines while this control process leads the log."""
 
 from collections import abc
 from concurrent import futures
@@ -20,14 +20,14 @@
 
 __all__ = ["OrdersRunner"]
 
-LOOK_S = 1.0
-"""Time between two looks at the engines."""
+CHECK_INTERVAL_S = 1.0
+"""Time between two observations of the engines."""
 
-LOOKERS = 16
+MAX_CONCURRENT_READS = 16
 
 
 class OrdersRunner(lifecycle.Part):
-    """One task that looks, plans and orders."""
+    """Thread that observes engines, plans orders and sends them."""
 
     def __init__(
         self,
@@ -48,24 +48,26 @@
         )
 
     def start(self) -> None:
-        """Starts looking."""
+        """Starts the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stops; an order under way is waited for."""
+        """Stops the thread after the current order."""
         self._stop.set()
         self._thread.join()
 
     def _run(self) -> None:
-        with futures.ThreadPoolExecutor(LOOKERS) as executor:
-            while not self._stop.wait(LOOK_S):
+        with futures.ThreadPoolExecutor(MAX_CONCURRENT_READS) as executor:
+            while not self._stop.wait(CHECK_INTERVAL_S):
                 try:
-                    self._look(executor)
+                    self._run_once(executor)
                 except errors.RouterError as error:
-                    # The next look starts from what the engines then show.
-                    logs.event("orders held up", "WARNING", detail=str(error))
+                    # The next round starts from the state of the engines.
+                    logs.event(
+                        "orders check failed", "WARNING", detail=str(error)
+                    )
 
-    def _look(self, executor: futures.Executor) -> None:
+    def _run_once(self, executor: futures.Executor) -> None:
         status = self._log.status()
         if status.leader != status.voter or not status.has_quorum:
             self._lease = None
@@ -84,20 +86,20 @@
             return
         if self._lease is None:
             self._take()
-        seen = executor.map(engines.observe, endpoints)
+        states = executor.map(engines.observe, endpoints)
         observed = {
             endpoint: state
-            for endpoint, state in zip(endpoints, seen, strict=True)
+            for endpoint, state in zip(endpoints, states, strict=True)
             if state is not None
         }
         now_s = self._clock.now_s()
-        rate = self._rate_of(document)
+        rate = self._load_rate(document)
         orders = list(plan.next_orders(document, observed, rate, now_s))
         if orders and self._renew():
             for order in orders:
-                self._give(order, endpoints[order.endpoint])
+                self._send(order, endpoints[order.endpoint])
 
-    def _rate_of(self, document: schema.Document) -> plan.LoadRate:
+    def _load_rate(self, document: schema.Document) -> plan.LoadRate:
         per_minute = document.weight_store.loads_per_minute
         if self._rate is None or self._rate[0] != per_minute:
             self._rate = per_minute, plan.LoadRate(per_minute)
@@ -118,7 +120,7 @@
 
     def _renew(self) -> bool:
         assert self._lease is not None
-        asked_s = self._clock.now_s()
+        requested_s = self._clock.now_s()
         reply = committing.commit(
             self._log,
             control_pb2.Command(
@@ -131,14 +133,16 @@
         if not reply.orders.current:
             self._lease = None
             return False
-        self._lease.renewed(asked_s)
+        self._lease.renewed(requested_s)
         return True
 
-    def _give(self, order: plan.Order, service: schema.Service) -> None:
+    def _send(self, order: plan.Order, service: schema.Service) -> None:
         assert self._lease is not None
-        checks = service.orders is schema.Orders.FENCED
-        allowed = self._lease.may_send(self._clock.now_s(), checks_token=checks)
-        outcome = "held back by the lease"
+        checks_token = service.orders is schema.Orders.FENCED
+        allowed = self._lease.may_send(
+            self._clock.now_s(), checks_token=checks_token
+        )
+        outcome = "not allowed by the lease"
         if allowed:
             try:
                 taken = engines.send(order, self._lease.holder.fencing)
--- a/cardamombarrow/orders/tests/test_lease.py
+++ b/cardamombarrow/orders/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Who may give orders, and until when."""
+"""Tests of the holder of orders and its lease."""
 
 import hypothesis
 from hypothesis import strategies
@@ -32,13 +32,13 @@
 def test_two_holders_never_send_at_once(
     renewals, answer_s, sent_after_s, speed
 ):
-    # Control A is cut off after its last renewal and does not know it. B
-    # takes over. An engine that checks no token must not hear both.
-    asked_s = max(renewals)
+    # Control A is cut off after its last renewal without noticing it, and B
+    # takes over. An engine that checks no token must not get orders of both.
+    requested_s = max(renewals)
     old = lease.Lease(machine.Holder(_A, 1), learned_s=0.0)
-    old.renewed(asked_s)
-    # B can have taken over only after A's last renewal was asked for.
-    learned_s = asked_s + answer_s
+    old.renewed(requested_s)
+    # B can have taken over only after A had requested its last renewal.
+    learned_s = requested_s + answer_s
     new = lease.Lease(machine.Holder(_B, 2), learned_s * speed)
     now_s = learned_s + sent_after_s
     new.renewed(now_s * speed)
--- a/cardamombarrow/orders/tests/test_plan.py
+++ b/cardamombarrow/orders/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Orders: rollouts in steps, within the weight store's rate."""
+"""Tests of rollouts in steps, within the weight store's rate."""
 
 import pytest
 
@@ -31,8 +31,8 @@
 
 
 def test_few_endpoints_of_a_service_load_at_a_time(document):
-    # All five engines are told at once to load the new version; none serves
-    # meanwhile, and a marshal waits for minutes.
+    # Guards against an order to all five engines at once to load the new
+    # version: none would serve for minutes.
     rate = plan.LoadRate(600)
     orders = list(
         plan.next_orders(document, _observed(document), rate, now_s=60.0)
@@ -41,13 +41,13 @@
     assert orders[0].artifact == "v2"
 
 
-def test_loads_keep_to_the_rate_of_the_weight_store(document):
+def test_loads_stay_within_the_rate_of_the_weight_store(document):
     rate = plan.LoadRate(6)
     taken = [rate.take(second) for second in range(31)]
     assert sum(taken) == 4  # one at once, then one in ten seconds
 
 
-def test_an_engine_unloads_only_when_it_has_all_that_is_wanted(document):
+def test_an_engine_unloads_only_when_it_has_loaded_all_wanted(document):
     observed = _observed(document, default=("v0", "v1"))
     first = next(iter(observed))
     observed[first] = plan.Observed(frozenset({"v0", "v1", "v2"}), frozenset())
