--- a/cardamombarrow/control/metrics.py
+++ b/cardamombarrow/control/metrics.py
@@ -56,7 +56,7 @@
 
     def _duties(self) -> dict[str, typing.Any]:
         duties = self._state.duties
-        holder = duties.holders.holder
+        holder = duties.holder_state.holder
         return {
             "holder": holder.instance,
             "fencing": holder.fencing,
@@ -86,7 +86,7 @@
             ("log_voters", len(status.voters)),
             ("document_revision", accepted.revision),
             ("document_number", accepted.number),
-            ("duties_fencing", self._state.duties.holders.holder.fencing),
+            ("duties_fencing", self._state.duties.holder_state.holder.fencing),
             (
                 "usage_reports_open",
                 sum(not r.taken for r in self._state.duties.reports.values()),
--- a/cardamombarrow/control/state.py
+++ b/cardamombarrow/control/state.py
@@ -33,7 +33,7 @@
     def __init__(self):
         self.document = document_machine.DocumentState("", NO_DOCUMENT)
         self.ledger = ledger_machine.LedgerState()
-        self.orders = orders_machine.OrdersState()
+        self.orders = orders_machine.HolderState()
         self.duties = duties_machine.DutiesState()
 
     def apply(self, index: int, command: bytes) -> bytes:
@@ -131,7 +131,9 @@
             ids.InstanceId(wire.instance), wire.fencing
         )
         current = self.duties.renew(requested)
-        return self._duties_reply(self.duties.holders.holder, current=current)
+        return self._duties_reply(
+            self.duties.holder_state.holder, current=current
+        )
 
     def _duties_reply(
         self, holder: orders_machine.Holder, *, current: bool
@@ -195,7 +197,7 @@
             raw["document"]
         )
         self.ledger = ledger_machine.LedgerState.from_json(raw["ledger"])
-        self.orders = orders_machine.OrdersState.from_json(raw["orders"])
+        self.orders = orders_machine.HolderState.from_json(raw["orders"])
         # Snapshots of versions without duties lack this key.
         if "duties" in raw:
             self.duties = duties_machine.DutiesState.from_json(raw["duties"])
--- a/cardamombarrow/duties/machine.py
+++ b/cardamombarrow/duties/machine.py
@@ -41,25 +41,25 @@
     """Holder and reports; the same at every voter.
 
     Attributes:
-        holders: The current holder.
+        holder_state: The current holder.
         before: Instance of the previous holder; empty if there was none.
         reports: Committed reports, by window.
     """
 
     def __init__(self):
-        self.holders = orders_machine.OrdersState()
+        self.holder_state = orders_machine.HolderState()
         self.before = ids.InstanceId("")
         self.reports: dict[int, Report] = {}
 
     def take(self, instance: ids.InstanceId) -> orders_machine.Holder:
         """Makes a control process the holder, under a new token."""
-        if self.holders.holder.instance != instance:
-            self.before = self.holders.holder.instance
-        return self.holders.take(instance)
+        if self.holder_state.holder.instance != instance:
+            self.before = self.holder_state.holder.instance
+        return self.holder_state.take(instance)
 
     def renew(self, holder: orders_machine.Holder) -> bool:
         """Returns whether this is still the holder."""
-        return self.holders.renew(holder)
+        return self.holder_state.renew(holder)
 
     def commit(
         self,
@@ -113,7 +113,7 @@
     def to_json(self) -> dict:
         """Returns the state as plain JSON values, for a snapshot."""
         return {
-            "holder": self.holders.to_json(),
+            "holder": self.holder_state.to_json(),
             "before": self.before,
             "reports": [
                 {"window": window, **dataclasses.asdict(report)}
@@ -125,7 +125,7 @@
     def from_json(cls, raw: dict) -> "DutiesState":
         """Reads what `to_json` wrote."""
         state = cls()
-        state.holders = orders_machine.OrdersState.from_json(raw["holder"])
+        state.holder_state = orders_machine.HolderState.from_json(raw["holder"])
         state.before = ids.InstanceId(raw["before"])
         for item in raw["reports"]:
             counts = {
--- a/cardamombarrow/duties/tests/test_runner.py
+++ b/cardamombarrow/duties/tests/test_runner.py
@@ -208,7 +208,7 @@
     world.run(30)
     windows = sorted(world.accepted)
     assert windows == list(range(windows[0], windows[-1] + 1))
-    assert max(world.tokens) == world.state.duties.holders.holder.fencing
+    assert max(world.tokens) == world.state.duties.holder_state.holder.fencing
 
 
 def test_a_report_without_an_answer_is_repeated_unchanged(world):
--- a/cardamombarrow/metering/__init__.py
+++ b/cardamombarrow/metering/__init__.py
@@ -1,5 +1,5 @@
-"""What callers used and ask for, counted where it is served.
+"""Usage by workspace and demand by service.
 
-Entries count; control processes gather. Counts are totals by window, so that
-telling them twice changes nothing.
+Entries count; control processes collect the counts. Counts are totals by
+window, so that a repeated report changes nothing.
 """
--- a/cardamombarrow/metering/board.py
+++ b/cardamombarrow/metering/board.py
@@ -1,4 +1,4 @@
-"""What entries have counted, gathered at a control process."""
+"""Usage and demand of all entries, as collected at a control process."""
 
 import collections
 from collections import abc
@@ -8,11 +8,11 @@
 
 __all__ = ["Demand", "DemandBoard", "SourceCounts", "UsageBoard"]
 
-WINDOWS_KEPT = 8
-"""Windows held: those whose report may still be due, and some to spare."""
+MAX_WINDOWS = 8
+"""Stored windows: those whose report may be due, and some spare ones."""
 
-DEMAND_LIFE_S = 4.0
-"""An entry that tells nothing for this long asks for nothing any more."""
+DEMAND_TTL_S = 4.0
+"""Time after which the last report of an entry no longer counts."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -20,7 +20,7 @@
     """Totals of one entry in one window.
 
     Attributes:
-        source: The entry and its start.
+        source: Identifies the entry and its start.
     """
 
     source: str
@@ -36,66 +36,66 @@
 
 
 class UsageBoard:
-    """Totals by window and source; used on one loop.
+    """Usage totals by window and source; used on one loop.
 
-    A total only grows, so of two the greater one is the later: rows may come
-    twice, in any order and by several ways.
+    A total only grows, so the greater of two is the later one. Rows may
+    therefore arrive twice, in any order and over several routes.
     """
 
     def __init__(self, first_number: int):
-        """Builds an empty board.
+        """Builds an empty table.
 
         Args:
-            first_number: Where numbers begin; drawn by lot, so that whoever
-                comes with a number of another process gets all.
+            first_number: First change number. It should be random, so that a
+                request with a number of another process gets all rows.
         """
-        self._first = self._number = first_number
+        self._first_number = self._number = first_number
         self._windows: dict[int, dict[str, _Row]] = {}
 
-    def put(self, told: SourceCounts, *, direct: bool) -> None:
-        """Takes totals.
+    def put(self, reported: SourceCounts, *, direct: bool) -> None:
+        """Merges the totals of one entry and window.
 
         Args:
-            told: The totals.
-            direct: Whether the entry told them itself. Only those are passed
-                on: each control process asks each other one.
+            reported: The totals.
+            direct: Whether the entry itself reported them. Only direct totals
+                are relayed, as each control process queries each other one.
         """
-        newest = max(self._windows, default=told.window)
-        if told.window <= newest - WINDOWS_KEPT:
+        newest = max(self._windows, default=reported.window)
+        if reported.window <= newest - MAX_WINDOWS:
             return
-        rows = self._windows.setdefault(told.window, {})
-        row = rows.setdefault(told.source, _Row({}))
-        for workspace, count in told.counts.items():
+        rows = self._windows.setdefault(reported.window, {})
+        row = rows.setdefault(reported.source, _Row({}))
+        for workspace, count in reported.counts.items():
             if count > row.counts.get(workspace, 0):
                 row.counts[workspace] = count
         if direct:
             self._number += 1
             row.number = self._number
             row.direct = True
-        for window in sorted(self._windows)[:-WINDOWS_KEPT]:
+        for window in sorted(self._windows)[:-MAX_WINDOWS]:
             del self._windows[window]
 
     def own_since(self, number: int) -> tuple[list[SourceCounts], int]:
-        """Returns what entries told here after a number, and the next one."""
-        if not self._first <= number <= self._number:
-            number = self._first
-        told = [
+        """Returns direct totals changed after a number, and the newest number."""
+        if not self._first_number <= number <= self._number:
+            number = self._first_number
+        reported = [
             SourceCounts(source, window, dict(row.counts))
             for window, rows in self._windows.items()
             for source, row in rows.items()
             if row.direct and row.number > number
         ]
-        return told, self._number
+        return reported, self._number
 
     def totals(self) -> dict[int, dict[ids.WorkspaceId, int]]:
-        """Returns what all entries counted, by window."""
+        """Returns the totals of all entries, by window."""
         return {
             window: _total(rows.values())
             for window, rows in self._windows.items()
         }
 
     def sources(self) -> dict[int, int]:
-        """Counts the entries that told something, by window."""
+        """Returns the number of entries that reported, by window."""
         return {window: len(rows) for window, rows in self._windows.items()}
 
 
@@ -108,11 +108,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Demand:
-    """What a failure domain asks of a service.
+    """Demand of a failure domain for a service.
 
     Attributes:
-        reading: Endpoints kept busy by reading prompts alone.
-        running: Requests that run.
+        reading: Endpoints that prefill alone keeps busy.
+        running: Running requests.
     """
 
     domain: ids.DomainId
@@ -122,20 +122,20 @@
 
 
 @dataclasses.dataclass
-class _Asked:
+class _EntryDemand:
     domain: ids.DomainId
-    heard_s: float
+    received_s: float
     reading_s: float
     reading: float = 0.0
     running: int = 0
 
 
 class DemandBoard:
-    """What entries ask for, here and at other control processes."""
+    """Demand of the entries here and at other control processes."""
 
     def __init__(self):
-        self._asked: dict[tuple[str, ids.ServiceId], _Asked] = {}
-        self._others: dict[str, tuple[float, list[Demand]]] = {}
+        self._own_demand: dict[tuple[str, ids.ServiceId], _EntryDemand] = {}
+        self._peer_demand: dict[str, tuple[float, list[Demand]]] = {}
 
     def put(
         self,
@@ -146,52 +146,52 @@
         running: int,
         now_s: float,
     ) -> None:
-        """Takes what an entry tells of one service.
+        """Records an entry's demand for one service.
 
         Args:
-            source: The entry and its start.
+            source: Identifies the entry and its start.
             domain: Its failure domain.
             service: The service.
-            reading_s: Engine seconds of reading since its start.
+            reading_s: Engine time of prefill since the start of the entry.
             running: Requests that run now.
             now_s: Monotonic time.
         """
         key = source, service
-        before = self._asked.get(key)
-        asked = _Asked(domain, now_s, reading_s, 0.0, running)
-        if before is not None and now_s > before.heard_s:
-            grown_s = max(reading_s - before.reading_s, 0.0)
-            asked.reading = grown_s / (now_s - before.heard_s)
-        self._asked[key] = asked
+        previous = self._own_demand.get(key)
+        current = _EntryDemand(domain, now_s, reading_s, 0.0, running)
+        if previous is not None and now_s > previous.received_s:
+            added_s = max(reading_s - previous.reading_s, 0.0)
+            current.reading = added_s / (now_s - previous.received_s)
+        self._own_demand[key] = current
 
     def put_others(
         self, peer: str, demands: list[Demand], now_s: float
     ) -> None:
-        """Takes what another control process's entries ask for."""
-        self._others[peer] = now_s, demands
+        """Records the demand of the entries of another control process."""
+        self._peer_demand[peer] = now_s, demands
 
     def own(self, now_s: float) -> list[Demand]:
-        """Returns what the entries that tell this process ask for."""
+        """Returns the demand of the entries that report to this process."""
         fresh = {
-            key: asked
-            for key, asked in self._asked.items()
-            if now_s - asked.heard_s <= DEMAND_LIFE_S
+            key: current
+            for key, current in self._own_demand.items()
+            if now_s - current.received_s <= DEMAND_TTL_S
         }
-        self._asked = fresh
+        self._own_demand = fresh
         return _sum(
-            Demand(asked.domain, service, asked.reading, asked.running)
-            for (_, service), asked in fresh.items()
+            Demand(current.domain, service, current.reading, current.running)
+            for (_, service), current in fresh.items()
         )
 
     def all(self, now_s: float) -> list[Demand]:
-        """Returns what all entries ask for."""
-        others = (
+        """Returns the demand of all entries."""
+        peer_demand = (
             demand
-            for heard_s, demands in self._others.values()
-            if now_s - heard_s <= DEMAND_LIFE_S
+            for received_s, demands in self._peer_demand.values()
+            if now_s - received_s <= DEMAND_TTL_S
             for demand in demands
         )
-        return _sum([*self.own(now_s), *others])
+        return _sum([*self.own(now_s), *peer_demand])
 
 
 def _sum(demands: abc.Iterable[Demand]) -> list[Demand]:
--- a/cardamombarrow/metering/meter.py
+++ b/cardamombarrow/metering/meter.py
@@ -1,10 +1,9 @@
-"""Counts at one entry what began to run, and how much reading it takes.
+"""Counts the started requests of one entry, and their prefill time.
 
 Load pattern: every request of an entry counts once, in the window in which it
-began to run. The totals go up with what is sent to the control process anyway,
-only where they have changed since that process confirmed them. Without this
-module nobody could be billed, and nobody would know how many endpoints the
-work needs.
+started. The totals are added to the regular requests to the control process,
+but only those that changed since that process confirmed them. They are the
+basis for billing, and for the number of endpoints that the load needs.
 """
 
 import collections
@@ -17,16 +16,16 @@
 
 __all__ = ["DemandTotal", "Meter", "WindowCounts", "window_of"]
 
-WINDOWS_KEPT = 4
-"""Windows that are told: the present one, and those whose report is not due."""
+MAX_WINDOWS = 4
+"""Stored windows: the current one, and those whose report is not due yet."""
 
-IDLE_QUANTILE = 0.2
-"""Quantile of the time to read a token that counts: the slower ones waited."""
+UNQUEUED_QUANTILE = 0.2
+"""Quantile of the prefill time per token; slower prompts were queued."""
 
 
 @dataclasses.dataclass(frozen=True)
 class WindowCounts:
-    """Requests that began in one window, by workspace."""
+    """Requests that started in one window, by workspace."""
 
     window: int
     counts: dict[ids.WorkspaceId, int]
@@ -34,10 +33,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class DemandTotal:
-    """What an entry has asked of a service.
+    """Demand of one entry for a service.
 
     Attributes:
-        reading_s: Engine seconds of reading since the entry's start.
+        reading_s: Engine time of prefill since the start of the entry.
         running: Requests that run now.
     """
 
@@ -47,7 +46,7 @@
 
 
 def window_of(unix_s: float, window_s: float) -> int:
-    """Returns the number of the window that holds a moment."""
+    """Returns the number of the window that contains a time."""
     return int(unix_s // window_s)
 
 
@@ -55,34 +54,34 @@
     """The counts of one entry since its start; used by several threads."""
 
     def __init__(self, window_s: float, unix_s: abc.Callable[[], float]):
-        """Builds the counts.
+        """Builds a meter without counts.
 
         Args:
-            window_s: Length of a window; 0 counts no usage.
-            unix_s: The time of day that is agreed on.
+            window_s: Length of a window; 0 to count no usage.
+            unix_s: Returns the agreed time of day, Unix seconds.
         """
         self._window_s = window_s
         self._unix_s = unix_s
         self._lock = threading.Lock()
-        self._change = 0
+        self._change_number = 0
         self._windows: dict[int, dict[ids.WorkspaceId, tuple[int, int]]] = {}
         self._confirmed: tuple[str, int, int] = "", 0, 0
-        self._pace = pace.ReadingPace(IDLE_QUANTILE)
+        self._token_time = pace.ReadingPace(UNQUEUED_QUANTILE)
         self._reading_s: collections.Counter[ids.ServiceId] = (
             collections.Counter()
         )
 
     def began(self, workspace: ids.WorkspaceId) -> None:
-        """Counts a request that has begun to run."""
+        """Counts a request that has started to run."""
         if not self._window_s or not workspace:
             return
         window = window_of(self._unix_s(), self._window_s)
         with self._lock:
-            self._change += 1
+            self._change_number += 1
             counts = self._windows.setdefault(window, {})
             count, _ = counts.get(workspace, (0, 0))
-            counts[workspace] = count + 1, self._change
-            for old in sorted(self._windows)[:-WINDOWS_KEPT]:
+            counts[workspace] = count + 1, self._change_number
+            for old in sorted(self._windows)[:-MAX_WINDOWS]:
                 del self._windows[old]
 
     def unconfirmed(self, control: str) -> tuple[list[WindowCounts], int]:
@@ -92,12 +91,12 @@
             control: Its address.
 
         Returns:
-            The totals, and the number to hand to `acknowledge`.
+            The totals, and the number to pass to `acknowledge`.
         """
         with self._lock:
             address, _, number = self._confirmed
             since = number if address == control else 0
-            news = [
+            changed = [
                 WindowCounts(
                     window,
                     {
@@ -108,40 +107,43 @@
                 )
                 for window, counts in self._windows.items()
             ]
-            return [each for each in news if each.counts], self._change
+            return [
+                each for each in changed if each.counts
+            ], self._change_number
 
     def acknowledge(self, control: str, boot: int, number: int) -> None:
-        """Notes that a control process has the totals up to a number.
+        """Records that a control process has the totals up to a number.
 
         Args:
             control: Its address.
-            boot: Tells one start of it from another: what it had before it
-                started again is gone.
-            number: The number.
+            boot: Identifies its start; a restart loses all totals.
+            number: The number that `unconfirmed` returned.
         """
         with self._lock:
-            address, before, _ = self._confirmed
-            if address == control and before != boot:
+            address, previous_boot, _ = self._confirmed
+            if address == control and previous_boot != boot:
                 number = 0
             self._confirmed = control, boot, number
 
     def read(self, service: ids.ServiceId, tokens: int, after_s: float) -> None:
-        """Counts the reading of a prompt whose answer has begun.
+        """Counts the prefill of a prompt whose answer has started.
 
         Args:
-            service: Whose endpoint read it.
-            tokens: Tokens that no cache held, as far as known.
-            after_s: Time from sending it to the first event.
+            service: Service of the endpoint.
+            tokens: Prompt tokens that were not cached, as an estimate.
+            after_s: Time from sending the request to the first event.
         """
         with self._lock:
             if tokens >= pace.LEAST_TOKENS:
-                self._pace.learn(service, after_s / tokens)
-            self._reading_s[service] += tokens * self._pace.token_s(service)
+                self._token_time.learn(service, after_s / tokens)
+            self._reading_s[service] += tokens * self._token_time.token_s(
+                service
+            )
 
     def demand(
         self, running: abc.Mapping[ids.ServiceId, int]
     ) -> list[DemandTotal]:
-        """Returns what was asked of each service.
+        """Returns the demand for each service.
 
         Args:
             running: Streams that run now.
--- a/cardamombarrow/metering/tests/test_meter.py
+++ b/cardamombarrow/metering/tests/test_meter.py
@@ -1,4 +1,4 @@
-"""What an entry counts."""
+"""Tests of the counts of an entry."""
 
 import pytest
 
@@ -33,14 +33,14 @@
     meter.began(_WORKSPACE)
     now.now_s = 1_005.0
     meter.began(ids.WorkspaceId("clubs"))
-    news, _ = meter.unconfirmed("a:1")
-    assert [(each.window, each.counts) for each in news] == [
+    changed, _ = meter.unconfirmed("a:1")
+    assert [(each.window, each.counts) for each in changed] == [
         (200, {"trails": 2}),
         (201, {"clubs": 1}),
     ]
 
 
-def test_only_what_is_not_confirmed_is_told_again(meter):
+def test_only_unconfirmed_counts_are_sent_again(meter):
     meter.began(_WORKSPACE)
     _, number = meter.unconfirmed("a:1")
     meter.acknowledge("a:1", 7, number)
@@ -49,16 +49,16 @@
     assert meter.unconfirmed("a:1")[0][0].counts == {"trails": 2}
 
 
-def test_another_control_process_is_told_all(meter):
-    # Guards against counts that go with a control process that is lost.
+def test_another_control_process_gets_all_counts(meter):
+    # Guards against counts that are lost with a control process.
     meter.began(_WORKSPACE)
     _, number = meter.unconfirmed("a:1")
     meter.acknowledge("a:1", 7, number)
     assert meter.unconfirmed("b:1")[0][0].counts == {"trails": 1}
 
 
-def test_a_control_process_that_has_restarted_is_told_all(meter):
-    # Guards against counts that a restart at the same address has lost.
+def test_a_restarted_control_process_gets_all_counts(meter):
+    # Guards against counts that are lost by a restart at the same address.
     meter.began(_WORKSPACE)
     _, number = meter.unconfirmed("a:1")
     meter.acknowledge("a:1", 7, number)
@@ -71,7 +71,7 @@
     for _ in range(100):
         now.now_s += 5.0
         meter.began(_WORKSPACE)
-    assert len(meter.unconfirmed("a:1")[0]) == meter_module.WINDOWS_KEPT
+    assert len(meter.unconfirmed("a:1")[0]) == meter_module.MAX_WINDOWS
 
 
 def test_without_windows_nothing_is_counted(now):
@@ -80,8 +80,8 @@
     assert meter.unconfirmed("a:1")[0] == []
 
 
-def test_prompts_that_waited_do_not_set_the_pace(meter):
-    # Guards against a burst that makes reading look slower than it is: more
+def test_queued_prompts_do_not_change_the_prefill_time(meter):
+    # Guards against a burst that makes prefill look slower than it is: more
     # endpoints would be ordered than the prompts need.
     for turn in range(2_000):
         waited = 1.0 if turn % 2 else 0.0
@@ -91,6 +91,6 @@
     assert meter.demand({})[0].reading_s - before_s < 0.15
 
 
-def test_demand_names_services_that_only_run(meter):
+def test_demand_includes_services_with_running_requests_only(meter):
     total = meter.demand({_SERVICE: 3})[0]
     assert (total.service, total.running) == (_SERVICE, 3)
--- a/cardamombarrow/metering/tests/test_true_time.py
+++ b/cardamombarrow/metering/tests/test_true_time.py
@@ -1,4 +1,4 @@
-"""The time of day that is agreed on."""
+"""Tests of the agreed time of day."""
 
 import pytest
 
@@ -29,25 +29,25 @@
 
 @pytest.mark.parametrize("jump_s", [2.4, -2.4])
 @pytest.mark.parametrize("peers", [2, 4, 5])
-def test_a_clock_that_jumps_moves_nothing(boot, wall, jump_s, peers):
+def test_a_clock_that_jumps_does_not_change_the_time(boot, wall, jump_s, peers):
     # Guards against usage that is billed in the wrong window.
     poll = true_time.ClockPoll(boot, wall)
     wall.jump_s = jump_s
     for number in range(peers):
-        asked_s = boot.now_s()
+        requested_s = boot.now_s()
         boot.advance(0.06)
-        poll.add_sample(f"c{number}", TRUE_S + boot.now_s() - 0.03, asked_s)
+        poll.add_sample(f"c{number}", TRUE_S + boot.now_s() - 0.03, requested_s)
     assert poll.unix_s() == pytest.approx(TRUE_S + boot.now_s(), abs=0.01)
 
 
-def test_alone_a_process_has_its_own_clock(boot, wall):
+def test_without_samples_the_own_clock_is_used(boot, wall):
     poll = true_time.ClockPoll(boot, wall)
     poll.add_sample("c1", TRUE_S, boot.now_s())
-    boot.advance(true_time.SAMPLE_LIFE_S + 1)
+    boot.advance(true_time.SAMPLE_TTL_S + 1)
     assert poll.unix_s() == pytest.approx(wall())
 
 
-def test_an_entry_follows_what_it_is_told_and_not_its_clock(boot, wall):
+def test_an_entry_uses_the_time_of_the_control_process(boot, wall):
     time = true_time.AgreedTime(boot, wall)
     assert not time.is_agreed
     assert time.unix_s() == wall()
--- a/cardamombarrow/metering/true_time.py
+++ b/cardamombarrow/metering/true_time.py
@@ -1,9 +1,9 @@
 """The time of day that control processes agree on.
 
-Time of day jumps on single machines. The boot clock does not, so each process
-keeps one offset between the two. A control process takes the median of what
-the control processes read from their own clocks; an entry takes what its
-control process tells.
+The time of day can jump on single machines. The boot clock does not, so each
+process stores an offset between the two. A control process uses the median of
+the clocks of all control processes; an entry uses the time that its control
+process sends.
 """
 
 from collections import abc
@@ -15,12 +15,12 @@
 
 __all__ = ["AgreedTime", "ClockPoll"]
 
-SAMPLE_LIFE_S = 10.0
-"""How long the reading of another process's clock counts."""
+SAMPLE_TTL_S = 10.0
+"""Time for which a sample of another process's clock is valid."""
 
 
 class AgreedTime:
-    """Time of day on the boot clock; used by several threads."""
+    """Agreed time of day, based on the boot clock; used by several threads."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
 
     @property
     def is_agreed(self) -> bool:
-        """Whether the offset is the control processes' and not this one's."""
+        """Whether a control process has set the time."""
         return self._offset_s is not None
 
     def synchronize(self, unix_s: float) -> None:
-        """Takes what a control process tells to be the time now."""
+        """Sets the current time as received from a control process."""
         self._offset_s = unix_s - self._clock.now_s()
 
     def unix_s(self) -> float:
@@ -50,7 +50,7 @@
 @dataclasses.dataclass(frozen=True)
 class _Sample:
     offset_s: float
-    heard_s: float
+    received_s: float
 
 
 class ClockPoll:
@@ -65,29 +65,29 @@
         self._wall_s = wall_s
         self._samples: dict[str, _Sample] = {}
 
-    def add_sample(self, peer: str, unix_s: float, asked_s: float) -> None:
-        """Takes another process's reading of its clock.
+    def add_sample(self, peer: str, unix_s: float, requested_s: float) -> None:
+        """Adds a sample of another process's clock.
 
         Args:
             peer: Its address.
-            unix_s: What its clock showed when it answered.
-            asked_s: When it was asked, by the boot clock; half of the way
-                there and back has passed since it answered.
+            unix_s: Time of its clock when it answered.
+            requested_s: Time of the request, by the boot clock. The answer is
+                taken to be half of the round trip old.
         """
         now_s = self._clock.now_s()
-        offset_s = unix_s - (asked_s + now_s) / 2
+        offset_s = unix_s - (requested_s + now_s) / 2
         self._samples[peer] = _Sample(offset_s, now_s)
 
     def unix_s(self) -> float:
         """Returns the time of day, Unix seconds."""
         now_s = self._clock.now_s()
-        oldest_s = now_s - SAMPLE_LIFE_S
+        oldest_s = now_s - SAMPLE_TTL_S
         offsets = [
             sample.offset_s
             for sample in self._samples.values()
-            if sample.heard_s >= oldest_s
+            if sample.received_s >= oldest_s
         ]
         offsets.append(self._wall_s() - now_s)
-        # Of an even number the lower middle one: the mean of two would follow
-        # half of the clocks that jump.
+        # The lower median: with an even number of clocks, the mean of the two
+        # middle ones would include half of the jump of a clock.
         return now_s + statistics.median_low(offsets)
--- a/cardamombarrow/orders/lease.py
+++ b/cardamombarrow/orders/lease.py
@@ -30,12 +30,12 @@
 class Lease:
     """The lease of one holder, measured on its own clock."""
 
-    def __init__(self, holder: machine.Holder, learned_s: float):
+    def __init__(self, holder: machine.Holder, acquired_s: float):
         self.holder = holder
-        self._learned_s = learned_s
+        self._acquired_s = acquired_s
         self._requested_s = -LEASE_S
 
-    def renewed(self, requested_s: float) -> None:
+    def record_renewal(self, requested_s: float) -> None:
         """Records a successful renewal that was requested at `requested_s`."""
         self._requested_s = max(self._requested_s, requested_s)
 
@@ -53,4 +53,4 @@
             return False
         if checks_token:
             return True
-        return now_s >= self._learned_s + LEASE_S * (1 + DRIFT_SHARE)
+        return now_s >= self._acquired_s + LEASE_S * (1 + DRIFT_SHARE)
--- a/cardamombarrow/orders/machine.py
+++ b/cardamombarrow/orders/machine.py
@@ -10,7 +10,7 @@
 
 from cardamombarrow.kernel import ids
 
-__all__ = ["Holder", "OrdersState"]
+__all__ = ["Holder", "HolderState"]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -25,7 +25,7 @@
     fencing: int
 
 
-class OrdersState:
+class HolderState:
     """The current holder; the same at every voter."""
 
     def __init__(self):
@@ -53,7 +53,7 @@
         return dataclasses.asdict(self.holder)
 
     @classmethod
-    def from_json(cls, raw: dict) -> "OrdersState":
+    def from_json(cls, raw: dict) -> "HolderState":
         """Reads what `to_json` wrote."""
         state = cls()
         state.holder = Holder(ids.InstanceId(raw["instance"]), raw["fencing"])
--- a/cardamombarrow/orders/plan.py
+++ b/cardamombarrow/orders/plan.py
@@ -22,7 +22,7 @@
     "Order",
     "OrderKind",
     "next_orders",
-    "wanted",
+    "wanted_artifacts",
 ]
 
 LOADING_SHARE = 0.25
@@ -80,7 +80,7 @@
         return True
 
 
-def wanted(
+def wanted_artifacts(
     document: schema.Document, service: schema.Service
 ) -> frozenset[str]:
     """Returns the models and versions that a service's endpoints should load.
@@ -122,7 +122,7 @@
     rate: LoadRate,
     now_s: float,
 ) -> abc.Iterator[Order]:
-    want = wanted(document, service)
+    want = wanted_artifacts(document, service)
     endpoints = [e for group in service.endpoints.values() for e in group]
     reachable = [e for e in endpoints if e in observed]
     loading = sum(1 for e in reachable if observed[e].loading)
--- a/cardamombarrow/orders/runner.py
+++ b/cardamombarrow/orders/runner.py
@@ -133,7 +133,7 @@
         if not reply.orders.current:
             self._lease = None
             return False
-        self._lease.renewed(requested_s)
+        self._lease.record_renewal(requested_s)
         return True
 
     def _send(self, order: plan.Order, service: schema.Service) -> None:
--- a/cardamombarrow/orders/tests/test_lease.py
+++ b/cardamombarrow/orders/tests/test_lease.py
@@ -11,7 +11,7 @@
 
 
 def test_each_new_holder_has_a_higher_token():
-    state = machine.OrdersState()
+    state = machine.HolderState()
     first, second = state.take(_A), state.take(_B)
     assert second.fencing > first.fencing
     assert not state.renew(first)
@@ -19,7 +19,7 @@
 
 
 def test_a_restarted_holder_takes_a_new_token():
-    state = machine.OrdersState()
+    state = machine.HolderState()
     assert state.take(_A).fencing < state.take(_A).fencing
 
 
@@ -35,20 +35,20 @@
     # Control A is cut off after its last renewal without noticing it, and B
     # takes over. An engine that checks no token must not get orders of both.
     requested_s = max(renewals)
-    old = lease.Lease(machine.Holder(_A, 1), learned_s=0.0)
-    old.renewed(requested_s)
+    old = lease.Lease(machine.Holder(_A, 1), acquired_s=0.0)
+    old.record_renewal(requested_s)
     # B can have taken over only after A had requested its last renewal.
-    learned_s = requested_s + answer_s
-    new = lease.Lease(machine.Holder(_B, 2), learned_s * speed)
-    now_s = learned_s + sent_after_s
-    new.renewed(now_s * speed)
+    acquired_s = requested_s + answer_s
+    new = lease.Lease(machine.Holder(_B, 2), acquired_s * speed)
+    now_s = acquired_s + sent_after_s
+    new.record_renewal(now_s * speed)
     if new.may_send(now_s * speed, checks_token=False):
         latest_s = now_s - lease.SEND_TIMEOUT_S
         assert not old.may_send(latest_s, checks_token=False)
 
 
 def test_a_holder_that_cannot_renew_stops():
-    held = lease.Lease(machine.Holder(_A, 1), learned_s=0.0)
-    held.renewed(100.0)
+    held = lease.Lease(machine.Holder(_A, 1), acquired_s=0.0)
+    held.record_renewal(100.0)
     assert held.may_send(101.0, checks_token=True)
     assert not held.may_send(100.0 + lease.LEASE_S, checks_token=True)
