--- a/cardamombarrow/duties/runner.py
+++ b/cardamombarrow/duties/runner.py
@@ -20,7 +20,7 @@
 from cardamombarrow.kernel import lifecycle
 from cardamombarrow.kernel import logs
 from cardamombarrow.log import base as log_base
-from cardamombarrow.metering import board
+from cardamombarrow.metering import tables
 from cardamombarrow.peers import committing
 from cardamombarrow.peers import control_pb2
 
@@ -56,7 +56,7 @@
     unix_s: float
     totals: dict[int, dict[ids.WorkspaceId, int]]
     sources: dict[int, int]
-    demand: list[board.Demand]
+    demand: list[tables.Demand]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -255,7 +255,7 @@
         return now_s - self._listed_at_s < LIST_MAX_AGE_S
 
     def _order_service(
-        self, service: schema.Service, demand: list[board.Demand]
+        self, service: schema.Service, demand: list[tables.Demand]
     ) -> None:
         now_s = self._clock.now_s()
         name = service.service
--- a/cardamombarrow/duties/tests/test_runner.py
+++ b/cardamombarrow/duties/tests/test_runner.py
@@ -23,7 +23,7 @@
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 from cardamombarrow.log import local
-from cardamombarrow.metering import board
+from cardamombarrow.metering import tables
 
 _DOMAIN = ids.DomainId("north")
 _SERVICE = schema.Service(
@@ -124,7 +124,7 @@
             unix_s=self.unix_s,
             totals={w: dict(c) for w, c in self.counts.items()},
             sources={},
-            demand=[board.Demand(_DOMAIN, _SERVICE.service, self.demand, 0.0)],
+            demand=[tables.Demand(_DOMAIN, _SERVICE.service, self.demand, 0.0)],
         )
 
     def _listing(self):
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -24,9 +24,9 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.kernel import lifecycle
 from cardamombarrow.kernel import logs
-from cardamombarrow.metering import board
+from cardamombarrow.metering import agreed_time
 from cardamombarrow.metering import meter as meter_module
-from cardamombarrow.metering import true_time
+from cardamombarrow.metering import tables
 from cardamombarrow.peers import cache_report_codec
 from cardamombarrow.peers import confirmation_loop as confirmation_loop_module
 from cardamombarrow.peers import control_client
@@ -119,7 +119,7 @@
         )
         self._usage_number = 0
         self._boot = secrets.token_hex(BOOT_BYTES)
-        self.time = true_time.AgreedTime(boot_clock)
+        self.time = agreed_time.AgreedTime(boot_clock)
         self.meter = meter_module.Meter(
             settings.metering.window_s, self.time.unix_s
         )
@@ -155,7 +155,7 @@
             kept_since=self._kept_number,
             usage=[
                 metering_collector.usage_to_wire(
-                    board.SourceCounts(
+                    tables.SourceCounts(
                         f"{self._instance}.{self._boot}",
                         each.window,
                         each.counts,
@@ -167,7 +167,7 @@
                 control_pb2.DemandRow(
                     domain=self._domain,
                     service=each.service,
-                    reading=each.reading_s,
+                    reading=each.prefill_s,
                     running=each.running,
                 )
                 for each in self.meter.demand(self._running())
--- a/cardamombarrow/entry/progress.py
+++ b/cardamombarrow/entry/progress.py
@@ -45,7 +45,7 @@
         """Meters the request as one that has begun to run, once."""
         if not self._counted:
             self._counted = True
-            self._meter.began(self._job.workspace)
+            self._meter.count_request(self._job.workspace)
 
     def first_piece(self, job: messages.Job) -> None:
         """Notes the first piece of the answer.
@@ -57,7 +57,7 @@
         if job.streams:
             self.began()
             after_s = self.first_token_s - self._sent_s
-            self._meter.read(job.service, job.unread_tokens, after_s)
+            self._meter.count_prefill(job.service, job.unread_tokens, after_s)
 
     def piece(self) -> None:
         """Keeps the longest time between two pieces of the answer."""
--- a/cardamombarrow/metering/true_time.py
+++ b/cardamombarrow/metering/agreed_time.py
@@ -13,7 +13,7 @@
 
 from cardamombarrow.kernel import clock
 
-__all__ = ["AgreedTime", "ClockPoll"]
+__all__ = ["AgreedTime", "PeerClocks"]
 
 SAMPLE_TTL_S = 10.0
 """Time for which a sample of another process's clock is valid."""
@@ -53,7 +53,7 @@
     received_s: float
 
 
-class ClockPoll:
+class PeerClocks:
     """The median of the control processes' clocks; used on one loop."""
 
     def __init__(
--- a/cardamombarrow/metering/meter.py
+++ b/cardamombarrow/metering/meter.py
@@ -36,12 +36,12 @@
     """Demand of one entry for a service.
 
     Attributes:
-        reading_s: Engine time of prefill since the start of the entry.
+        prefill_s: Engine time of prefill since the start of the entry.
         running: Requests that run now.
     """
 
     service: ids.ServiceId
-    reading_s: float
+    prefill_s: float
     running: int
 
 
@@ -71,7 +71,7 @@
             collections.Counter()
         )
 
-    def began(self, workspace: ids.WorkspaceId) -> None:
+    def count_request(self, workspace: ids.WorkspaceId) -> None:
         """Counts a request that has started to run."""
         if not self._window_s or not workspace:
             return
@@ -125,7 +125,9 @@
                 number = 0
             self._confirmed = control, boot, number
 
-    def read(self, service: ids.ServiceId, tokens: int, after_s: float) -> None:
+    def count_prefill(
+        self, service: ids.ServiceId, tokens: int, after_s: float
+    ) -> None:
         """Counts the prefill of a prompt whose answer has started.
 
         Args:
--- a/cardamombarrow/metering/board.py
+++ b/cardamombarrow/metering/tables.py
@@ -6,7 +6,7 @@
 
 from cardamombarrow.kernel import ids
 
-__all__ = ["Demand", "DemandBoard", "SourceCounts", "UsageBoard"]
+__all__ = ["Demand", "DemandTable", "SourceCounts", "UsageTable"]
 
 MAX_WINDOWS = 8
 """Stored windows: those whose report may be due, and some spare ones."""
@@ -35,7 +35,7 @@
     direct: bool = False
 
 
-class UsageBoard:
+class UsageTable:
     """Usage totals by window and source; used on one loop.
 
     A total only grows, so the greater of two is the later one. Rows may
@@ -76,7 +76,7 @@
             del self._windows[window]
 
     def own_since(self, number: int) -> tuple[list[SourceCounts], int]:
-        """Returns direct totals changed after a number, and the newest number."""
+        """Returns the direct totals changed since a number, and the newest."""
         if not self._first_number <= number <= self._number:
             number = self._first_number
         reported = [
@@ -125,12 +125,12 @@
 class _EntryDemand:
     domain: ids.DomainId
     received_s: float
-    reading_s: float
+    prefill_s: float
     reading: float = 0.0
     running: int = 0
 
 
-class DemandBoard:
+class DemandTable:
     """Demand of the entries here and at other control processes."""
 
     def __init__(self):
@@ -142,7 +142,7 @@
         source: str,
         domain: ids.DomainId,
         service: ids.ServiceId,
-        reading_s: float,
+        prefill_s: float,
         running: int,
         now_s: float,
     ) -> None:
@@ -152,25 +152,25 @@
             source: Identifies the entry and its start.
             domain: Its failure domain.
             service: The service.
-            reading_s: Engine time of prefill since the start of the entry.
+            prefill_s: Engine time of prefill since the start of the entry.
             running: Requests that run now.
             now_s: Monotonic time.
         """
         key = source, service
         previous = self._own_demand.get(key)
-        current = _EntryDemand(domain, now_s, reading_s, 0.0, running)
+        current = _EntryDemand(domain, now_s, prefill_s, 0.0, running)
         if previous is not None and now_s > previous.received_s:
-            added_s = max(reading_s - previous.reading_s, 0.0)
+            added_s = max(prefill_s - previous.prefill_s, 0.0)
             current.reading = added_s / (now_s - previous.received_s)
         self._own_demand[key] = current
 
-    def put_others(
+    def put_peer_demand(
         self, peer: str, demands: list[Demand], now_s: float
     ) -> None:
         """Records the demand of the entries of another control process."""
         self._peer_demand[peer] = now_s, demands
 
-    def own(self, now_s: float) -> list[Demand]:
+    def own_demand(self, now_s: float) -> list[Demand]:
         """Returns the demand of the entries that report to this process."""
         fresh = {
             key: current
@@ -191,7 +191,7 @@
             if now_s - received_s <= DEMAND_TTL_S
             for demand in demands
         )
-        return _sum([*self.own(now_s), *peer_demand])
+        return _sum([*self.own_demand(now_s), *peer_demand])
 
 
 def _sum(demands: abc.Iterable[Demand]) -> list[Demand]:
--- a/cardamombarrow/metering/tests/test_true_time.py
+++ b/cardamombarrow/metering/tests/test_agreed_time.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cardamombarrow.kernel import clock
-from cardamombarrow.metering import true_time
+from cardamombarrow.metering import agreed_time
 
 TRUE_S = 1_700_000_000.0
 
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("peers", [2, 4, 5])
 def test_a_clock_that_jumps_does_not_change_the_time(boot, wall, jump_s, peers):
     # Guards against usage that is billed in the wrong window.
-    poll = true_time.ClockPoll(boot, wall)
+    poll = agreed_time.PeerClocks(boot, wall)
     wall.jump_s = jump_s
     for number in range(peers):
         requested_s = boot.now_s()
@@ -41,14 +41,14 @@
 
 
 def test_without_samples_the_own_clock_is_used(boot, wall):
-    poll = true_time.ClockPoll(boot, wall)
+    poll = agreed_time.PeerClocks(boot, wall)
     poll.add_sample("c1", TRUE_S, boot.now_s())
-    boot.advance(true_time.SAMPLE_TTL_S + 1)
+    boot.advance(agreed_time.SAMPLE_TTL_S + 1)
     assert poll.unix_s() == pytest.approx(wall())
 
 
 def test_an_entry_uses_the_time_of_the_control_process(boot, wall):
-    time = true_time.AgreedTime(boot, wall)
+    time = agreed_time.AgreedTime(boot, wall)
     assert not time.is_agreed
     assert time.unix_s() == wall()
     time.synchronize(TRUE_S + boot.now_s())
--- a/cardamombarrow/metering/tests/test_meter.py
+++ b/cardamombarrow/metering/tests/test_meter.py
@@ -28,11 +28,11 @@
 
 
 def test_counts_by_window_and_workspace(meter, now):
-    meter.began(_WORKSPACE)
+    meter.count_request(_WORKSPACE)
     now.now_s = 1_004.9
-    meter.began(_WORKSPACE)
+    meter.count_request(_WORKSPACE)
     now.now_s = 1_005.0
-    meter.began(ids.WorkspaceId("clubs"))
+    meter.count_request(ids.WorkspaceId("clubs"))
     changed, _ = meter.unconfirmed("a:1")
     assert [(each.window, each.counts) for each in changed] == [
         (200, {"trails": 2}),
@@ -41,17 +41,17 @@
 
 
 def test_only_unconfirmed_counts_are_sent_again(meter):
-    meter.began(_WORKSPACE)
+    meter.count_request(_WORKSPACE)
     _, number = meter.unconfirmed("a:1")
     meter.acknowledge("a:1", 7, number)
     assert meter.unconfirmed("a:1")[0] == []
-    meter.began(_WORKSPACE)
+    meter.count_request(_WORKSPACE)
     assert meter.unconfirmed("a:1")[0][0].counts == {"trails": 2}
 
 
 def test_another_control_process_gets_all_counts(meter):
     # Guards against counts that are lost with a control process.
-    meter.began(_WORKSPACE)
+    meter.count_request(_WORKSPACE)
     _, number = meter.unconfirmed("a:1")
     meter.acknowledge("a:1", 7, number)
     assert meter.unconfirmed("b:1")[0][0].counts == {"trails": 1}
@@ -59,7 +59,7 @@
 
 def test_a_restarted_control_process_gets_all_counts(meter):
     # Guards against counts that are lost by a restart at the same address.
-    meter.began(_WORKSPACE)
+    meter.count_request(_WORKSPACE)
     _, number = meter.unconfirmed("a:1")
     meter.acknowledge("a:1", 7, number)
     _, number = meter.unconfirmed("a:1")
@@ -70,13 +70,13 @@
 def test_windows_and_memory_are_bounded(meter, now):
     for _ in range(100):
         now.now_s += 5.0
-        meter.began(_WORKSPACE)
+        meter.count_request(_WORKSPACE)
     assert len(meter.unconfirmed("a:1")[0]) == meter_module.MAX_WINDOWS
 
 
 def test_without_windows_nothing_is_counted(now):
     meter = meter_module.Meter(0.0, now)
-    meter.began(_WORKSPACE)
+    meter.count_request(_WORKSPACE)
     assert meter.unconfirmed("a:1")[0] == []
 
 
@@ -85,10 +85,10 @@
     # endpoints would be ordered than the prompts need.
     for turn in range(2_000):
         waited = 1.0 if turn % 2 else 0.0
-        meter.read(_SERVICE, 10_000, 0.1 + waited)
-    before_s = meter.demand({})[0].reading_s
-    meter.read(_SERVICE, 10_000, 0.1)
-    assert meter.demand({})[0].reading_s - before_s < 0.15
+        meter.count_prefill(_SERVICE, 10_000, 0.1 + waited)
+    before_s = meter.demand({})[0].prefill_s
+    meter.count_prefill(_SERVICE, 10_000, 0.1)
+    assert meter.demand({})[0].prefill_s - before_s < 0.15
 
 
 def test_demand_includes_services_with_running_requests_only(meter):
--- a/cardamombarrow/metering/tests/test_board.py
+++ b/cardamombarrow/metering/tests/test_tables.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cardamombarrow.kernel import ids
-from cardamombarrow.metering import board as tables_module
+from cardamombarrow.metering import tables as tables_module
 
 _DOMAIN = ids.DomainId("north")
 _SERVICE = ids.ServiceId("writer")
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def table():
-    return tables_module.UsageBoard(1 << 40)
+    return tables_module.UsageTable(1 << 40)
 
 
 def test_a_repeated_row_counts_once(table):
@@ -48,7 +48,7 @@
     ]
     totals = []
     for _ in range(2):
-        table = tables_module.UsageBoard(0)
+        table = tables_module.UsageTable(0)
         random.Random(len(seeds)).shuffle(rows)
         for row in rows + rows[:2]:
             table.put(row, direct=True)
@@ -75,24 +75,26 @@
 
 
 def test_demand_is_a_rate_and_is_summed_by_domain():
-    table = tables_module.DemandBoard()
-    for now_s, reading_s in ((0.0, 5.0), (2.0, 6.0)):
-        table.put("e1", _DOMAIN, _SERVICE, reading_s, 4, now_s)
-        table.put("e2", _DOMAIN, _SERVICE, reading_s * 2, 1, now_s)
+    table = tables_module.DemandTable()
+    for now_s, prefill_s in ((0.0, 5.0), (2.0, 6.0)):
+        table.put("e1", _DOMAIN, _SERVICE, prefill_s, 4, now_s)
+        table.put("e2", _DOMAIN, _SERVICE, prefill_s * 2, 1, now_s)
     demand = table.all(2.0)
     assert demand == [tables_module.Demand(_DOMAIN, _SERVICE, 1.5, 5)]
 
 
 def test_a_restarted_entry_has_no_prefill_demand_at_first():
-    table = tables_module.DemandBoard()
+    table = tables_module.DemandTable()
     table.put("e1", _DOMAIN, _SERVICE, 50.0, 4, 0.0)
     table.put("e1", _DOMAIN, _SERVICE, 1.0, 4, 1.0)
     assert table.all(1.0)[0].reading == 0.0
 
 
 def test_demand_expires_without_reports():
-    table = tables_module.DemandBoard()
+    table = tables_module.DemandTable()
     table.put("e1", _DOMAIN, _SERVICE, 1.0, 4, 0.0)
-    table.put_others("c2", [tables_module.Demand(_DOMAIN, _SERVICE, 2, 3)], 0.0)
+    table.put_peer_demand(
+        "c2", [tables_module.Demand(_DOMAIN, _SERVICE, 2, 3)], 0.0
+    )
     assert table.all(1.0)[0].running == 7
     assert table.all(tables_module.DEMAND_TTL_S + 0.1) == []
--- a/cardamombarrow/peers/metering_collector.py
+++ b/cardamombarrow/peers/metering_collector.py
@@ -10,9 +10,9 @@
 
 from cardamombarrow.kernel import clock
 from cardamombarrow.kernel import ids
-from cardamombarrow.metering import board
+from cardamombarrow.metering import agreed_time
 from cardamombarrow.metering import meter
-from cardamombarrow.metering import true_time
+from cardamombarrow.metering import tables
 from cardamombarrow.peers import control_pb2
 
 __all__ = ["MeteringCollector", "demand_to_wire", "usage_to_wire"]
@@ -33,9 +33,9 @@
 
     def __init__(self):
         self.boot = random.getrandbits(63)
-        self.usage = board.UsageBoard(random.getrandbits(31) << 32)
-        self.demand = board.DemandBoard()
-        self._clocks = true_time.ClockPoll(clock.BootClock())
+        self.usage = tables.UsageTable(random.getrandbits(31) << 32)
+        self.demand = tables.DemandTable()
+        self._clocks = agreed_time.PeerClocks(clock.BootClock())
         self._window_s = 0.0
 
     def set_window_length(self, window_s: float) -> None:
@@ -72,7 +72,7 @@
             return
         counts, reply.usage_number = self.usage.own_since(request.usage_since)
         reply.usage.extend(map(usage_to_wire, counts))
-        own = self.demand.own(time.monotonic())
+        own = self.demand.own_demand(time.monotonic())
         reply.demand.extend(map(demand_to_wire, own))
 
     def merge_reply(
@@ -91,7 +91,7 @@
             self._put(row, direct=False)
         if reply.usage_number:
             demands = [
-                board.Demand(
+                tables.Demand(
                     ids.DomainId(row.domain),
                     ids.ServiceId(row.service),
                     row.reading,
@@ -99,7 +99,7 @@
                 )
                 for row in reply.demand
             ]
-            self.demand.put_others(peer, demands, time.monotonic())
+            self.demand.put_peer_demand(peer, demands, time.monotonic())
 
     def _put(self, row: control_pb2.UsageRow, *, direct: bool) -> None:
         if self._window_s:
@@ -109,11 +109,11 @@
         counts = dict(
             zip(map(ids.WorkspaceId, row.workspaces), row.counts, strict=False)
         )
-        source_counts = board.SourceCounts(row.source, row.window, counts)
+        source_counts = tables.SourceCounts(row.source, row.window, counts)
         self.usage.put(source_counts, direct=direct)
 
 
-def usage_to_wire(usage: board.SourceCounts) -> control_pb2.UsageRow:
+def usage_to_wire(usage: tables.SourceCounts) -> control_pb2.UsageRow:
     """Converts the totals of one window."""
     return control_pb2.UsageRow(
         source=usage.source,
@@ -123,7 +123,7 @@
     )
 
 
-def demand_to_wire(demand: board.Demand) -> control_pb2.DemandRow:
+def demand_to_wire(demand: tables.Demand) -> control_pb2.DemandRow:
     """Converts the demand of a failure domain for a service."""
     return control_pb2.DemandRow(
         domain=demand.domain,
