--- a/cardamombarrow/endpoints/__init__.py
+++ b/cardamombarrow/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints: how each kind is spoken to, and how its load is read."""
+"""Kinds of endpoints: their HTTP protocols and load reports."""
--- a/cardamombarrow/endpoints/base.py
+++ b/cardamombarrow/endpoints/base.py
@@ -1,4 +1,4 @@
-"""What the entry asks of an endpoint, whatever its kind."""
+"""Interface to endpoints of all kinds."""
 
 import abc
 from collections import abc as collections_abc
@@ -26,17 +26,17 @@
 
 
 PROBE_TIMEOUT_S = 1.0
-"""An endpoint that answers a probe within this is alive."""
+"""Time within which a live endpoint answers a probe."""
 
 _DECIMAL = re.compile(r"\d{1,9}(\.\d{1,9})?")
 
 
 class CallerWatch(abc.ABC):
-    """Tells whether the caller is still there."""
+    """Detects whether the caller has closed its connection."""
 
     @abc.abstractmethod
     def fileno(self) -> int:
-        """Returns the caller's socket, to be polled beside the endpoint's."""
+        """Returns the descriptor of the caller's socket; -1 for none."""
 
     @abc.abstractmethod
     def gone(self) -> bool:
@@ -48,22 +48,25 @@
     """One request to one endpoint.
 
     Attributes:
-        deadline_s: Moment on the monotonic clock when the answer must end.
-        stall_limit_s: Longest silence within the answer.
-        rank: The tier's rank, for engines that honour priorities.
-        first_byte_limit_s: Longest wait for the head of the answer, while
-            `may_redo` says that the request can be sent elsewhere.
-        may_redo: Tells whether it can.
-        resume_tokens: Tokens that the caller has already; the answer is to
-            go on after them.
-        resume_after: Id of the last event that the caller has already; empty
+        deadline_s: Monotonic time by which the answer must end.
+        stall_limit_s: Longest time without data from the endpoint, after which
+            it is probed.
+        rank: Rank of the request's tier, for engines with priorities.
+        caller: Watch on the caller's connection.
+        cancelled: Returns whether the dispatcher has cancelled the request.
+        first_byte_limit_s: Longest wait for the head of the answer, if
+            `may_redo` returns True.
+        may_redo: Returns whether the request can be sent to another endpoint.
+        resume_tokens: Tokens that the caller has already received; the answer
+            continues after them.
+        resume_after: Id of the last event that the caller has received; empty
             for none.
-        caller_id: The caller's own name for the request; empty for none.
-        workspace: Whose request it is; empty for anybody's.
-        headers: What the caller sent that concerns the endpoint, unchanged.
-        repeatable: Whether it may run twice.
-        fetch_from: Engine that the endpoint fetches the prompt's beginning
-            from, where it can; None for none.
+        caller_id: The caller's id of the request; empty for none.
+        workspace: Workspace of the request; empty for none.
+        headers: The caller's headers for the endpoint, unchanged.
+        repeatable: Whether the request may run twice.
+        fetch_from: Engine from which the endpoint may fetch the cache of the
+            prompt's prefix; None for none.
     """
 
     request_id: ids.RequestId
@@ -105,7 +108,7 @@
 
 
 class Exchange(abc.ABC):
-    """A request under way. Used by one thread, closed in every case."""
+    """A request to an endpoint. Used by one thread; must be closed."""
 
     @abc.abstractmethod
     def head(self) -> Head:
@@ -118,41 +121,41 @@
 
     @abc.abstractmethod
     def chunks(self) -> collections_abc.Iterator[bytes]:
-        """Yields the body as it comes; ends only after the whole of it.
+        """Yields the body as it arrives; returns only if it is complete.
 
         Raises:
-            errors.EndpointError: The answer broke off, stalled or ran late.
+            errors.EndpointError: The answer was cut off, stalled or too late.
             errors.RefusedError: The caller left or the run was cancelled.
         """
 
     @abc.abstractmethod
     def release(self) -> None:
-        """Tells that the answer is whole and was believed.
+        """Marks the answer as complete and valid.
 
-        Its connection may then serve another request; without this call it is
+        The connection may then serve another request. Without this call it is
         closed with the exchange.
         """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Ends the exchange; one that has not finished is cancelled."""
+        """Ends the exchange; cancels the request if it has not finished."""
 
 
 def parse_rate_limit(text: str | None) -> messages.RateLimit | None:
-    """Reads the field of an answer that states a rate limit.
+    """Parses the header field of an answer with a rate limit.
 
     Args:
-        text: Its value, requests a second as a decimal number; None where the
-            answer has no such field, which ends an earlier limit.
+        text: Decimal number of requests per second; None if the answer lacks
+            the field, which removes an earlier limit.
 
     Returns:
-        None where the value can't be read: what was stated before holds.
+        None if the value is invalid: an earlier limit then stays in force.
     """
     now_s = time.monotonic()
     if text is None:
         return messages.RateLimit(None, now_s)
     if _DECIMAL.fullmatch(text.strip()) is None:
-        logs.event("rate limit not read", "WARNING", text=text[:32])
+        logs.event("rate limit invalid", "WARNING", text=text[:32])
         return None
     return messages.RateLimit(float(text), now_s)
 
@@ -161,10 +164,10 @@
     """A kind of endpoint; registered in the slot ``endpoint-kind``.
 
     Attributes:
-        polled: Whether its load is asked for at intervals. Where the answers
-            themselves tell the load, nothing is asked.
-        relays_failures: Whether its own failure answers go to the caller when
-            the request can't be redone.
+        polled: Whether its load is polled at intervals. Not needed if the
+            answers contain the load.
+        relays_failures: Whether its failure answers are relayed to the caller
+            if the request can't be redone.
     """
 
     polled = True
@@ -172,23 +175,23 @@
 
     @abc.abstractmethod
     def open(self, call: OutgoingCall) -> Exchange:
-        """Prepares a request; nothing is sent before `Exchange.head`."""
+        """Prepares a request, which `Exchange.head` sends."""
 
     @abc.abstractmethod
     def poll(
         self, endpoint: ids.EndpointId, timeout_s: float
     ) -> messages.LoadReport | None:
-        """Reads the endpoint's load, or None where it reports none.
+        """Reads the endpoint's load; None if it reports none.
 
         Raises:
-            errors.EndpointError: It could not be read.
+            errors.EndpointError: The load could not be read.
         """
 
     def probe(self, endpoint: ids.EndpointId) -> bool:
-        """Asks over a new connection whether the endpoint still answers.
+        """Returns whether the endpoint answers on a new connection.
 
-        A connection can go silent for good while new ones work. Then the
-        endpoint is not to blame, and others' requests on it go on.
+        A single connection can go silent for good while new ones work. The
+        endpoint has not failed then, and its other requests continue.
         """
         url = f"http://{ids.address_of(endpoint)}/metrics"
         try:
@@ -198,26 +201,26 @@
         return True
 
     def check(self, head: Head, call: OutgoingCall) -> None:  # noqa: B027
-        """Refuses an answer that does not belong to the request.
+        """Checks that an answer belongs to the request.
 
         Raises:
-            errors.EndpointError: It is another request's, or damaged.
+            errors.EndpointError: It answers another request, or is damaged.
         """
 
     def load_in(self, head: Head) -> messages.LoadReport | None:
-        """Reads the load that an answer tells of its endpoint, if it does."""
+        """Reads the endpoint's load from an answer; None if it has none."""
         return None
 
     def rate_limit_in(
         self, head: Head, call: OutgoingCall
     ) -> messages.RateLimit | None:
-        """Reads the rate limit that an answer states for its endpoint.
+        """Reads the endpoint's rate limit from an answer.
 
-        It stands in ``X-Rate-Limit``, unless a kind says it otherwise.
+        The header field is ``X-Rate-Limit`` unless a subclass uses another.
 
         Returns:
-            None where the answer tells nothing about its endpoint, because
-            another one gave it or it can't be read.
+            None if the answer is from another endpoint or can't be read, so
+            that it says nothing about this one.
         """
         return parse_rate_limit(head.headers.get("x-rate-limit"))
 
@@ -227,24 +230,24 @@
 
     @abc.abstractmethod
     def not_started(self, head: Head) -> bool:
-        """Tells whether this answer says that the request did not run."""
+        """Returns whether the answer states that the request did not run."""
 
     @abc.abstractmethod
     def failed(self, head: Head) -> bool:
-        """Tells whether this answer is a failure, to be redone elsewhere."""
+        """Returns whether the answer is a failure, to be redone elsewhere."""
 
     @abc.abstractmethod
     def count_tokens(self, chunk: bytes) -> int:
-        """Counts the tokens in a chunk of a streamed answer."""
+        """Returns the number of tokens in a chunk of a streamed answer."""
 
     def resumable(self, head: Head) -> bool:
-        """Tells whether a cut answer can go on where it broke off."""
+        """Returns whether the answer can be resumed if it is cut off."""
         return False
 
     def tokens_at_end(self, tail: bytes) -> int:
-        """Reads the tokens of a plain answer from its end; 0 is not told."""
+        """Reads the token count from the end of an answer; 0 if it has none."""
         return 0
 
     @abc.abstractmethod
     def is_whole(self, head: Head, tail: bytes) -> bool:
-        """Tells whether a streamed answer with this end is complete."""
+        """Returns whether a streamed answer with this end is complete."""
--- a/cardamombarrow/endpoints/connection.py
+++ b/cardamombarrow/endpoints/connection.py
@@ -1,7 +1,7 @@
-"""One TCP connection to an endpoint, and the HTTP/1.1 spoken on it.
+"""A non-blocking HTTP/1.1 connection to an endpoint.
 
-Never blocks: the thread that relays an answer polls the socket together with
-its caller's, and tells the connection when it is ready.
+The thread that relays an answer polls the socket together with that of the
+caller, and calls the connection when its socket is ready.
 """
 
 import collections
@@ -21,33 +21,34 @@
 
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 3
-"""A connection whose peer vanished is noticed while an answer is awaited."""
+"""TCP keepalive detects a lost peer while an answer is awaited."""
 
 HEAD_LIMIT_BYTES = 131_072
 READ_BYTES = 65_536
 
-_KEEP = re.compile(r"\btimeout\s*=\s*(\d{1,6})", re.I)
+_KEEPALIVE_TIMEOUT = re.compile(r"\btimeout\s*=\s*(\d{1,6})", re.I)
 
 
 class BrokenError(Exception):
-    """The connection broke, or what came on it is no answer."""
+    """The connection failed, or received data that is not an HTTP answer."""
 
 
 class Connection:
-    """A connection and the state of the exchange on it.
+    """A connection and the state of its current exchange.
 
     Attributes:
-        sent: Whether any byte of the present request has left.
-        head: Status and headers of the answer, once they are there.
-        whole: Whether the whole answer is there.
-        idle_since_s: When its last answer ended, set by the pool.
+        connected: Whether the TCP connection is established.
+        sent: Whether any byte of the current request was sent.
+        head: Status and headers of the answer, once received.
+        whole: Whether the whole answer was received.
+        idle_since_s: End of its last answer; set by the pool.
     """
 
     def __init__(self, address: str):
-        """Begins to connect.
+        """Starts to connect.
 
         Raises:
-            OSError: The address can't be reached.
+            OSError: The address is not reachable.
         """
         host, _, port = address.rpartition(":")
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -58,7 +59,7 @@
         )
         self._unsent = memoryview(b"")
         self._chunks: collections.deque[bytes] = collections.deque()
-        self._refused = False
+        self._request_cut = False
         self.connected = False
         self.sent = False
         self.head: base.Head | None = None
@@ -70,12 +71,12 @@
             raise OSError(code, os.strerror(code))
 
     def fileno(self) -> int:
-        """Returns the socket's descriptor."""
+        """Returns the descriptor of the socket."""
         return self._socket.fileno()
 
     @property
     def events(self) -> int:
-        """What to poll the socket for."""
+        """Mask of events to poll the socket for."""
         if not self.connected:
             return select.POLLOUT
         return select.POLLIN | (select.POLLOUT if self._unsent else 0)
@@ -87,10 +88,10 @@
         headers: abc.Iterable[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Takes the next request; it leaves as the socket takes it.
+        """Starts the next request; `ready` sends it as the socket allows.
 
         Raises:
-            errors.RefusedError: HTTP has no form for it.
+            errors.RefusedError: The request can't be written as HTTP.
         """
         try:
             request = h11.Request(
@@ -107,16 +108,19 @@
             data += self._http.send(h11.EndOfMessage())
         except (h11.LocalProtocolError, UnicodeEncodeError) as error:
             raise errors.RefusedError(
-                errors.ErrorKind.BAD_REQUEST, f"not sent on: {error}"
+                errors.ErrorKind.BAD_REQUEST, f"not valid HTTP: {error}"
             ) from None
         self._unsent = memoryview(data)
         self.sent = False
 
     def ready(self, mask: int) -> None:
-        """Goes on with a socket that `poll` has returned.
+        """Sends and receives after `poll` has returned the socket.
+
+        Args:
+            mask: Events that `poll` returned.
 
         Raises:
-            BrokenError: It can't go on.
+            BrokenError: The connection failed.
         """
         if not self.connected:
             self._finish_connect()
@@ -147,12 +151,12 @@
         except BlockingIOError:
             return
         except OSError as error:
-            raise BrokenError(f"broke: {error}") from None
+            raise BrokenError(f"connection lost: {error}") from None
         try:
             self._http.receive_data(data)
             self._take_events()
         except h11.RemoteProtocolError as error:
-            raise BrokenError(f"no answer in HTTP: {error}") from None
+            raise BrokenError(f"invalid HTTP answer: {error}") from None
 
     def _take_events(self) -> None:
         while True:
@@ -166,9 +170,10 @@
                     },
                     event.reason.decode("latin-1"),
                 )
-                # What is not sent by now nobody waits for, and bytes that a
-                # later request would find before its own must not follow.
-                self._refused = bool(self._unsent)
+                # The rest of the request is no longer needed. It is dropped,
+                # and the connection is not reused: the endpoint would read the
+                # next request as the rest of this one.
+                self._request_cut = bool(self._unsent)
                 self._unsent = memoryview(b"")
             elif isinstance(event, h11.Data):
                 self._chunks.append(bytes(event.data))
@@ -179,47 +184,50 @@
                 return
 
     def take(self) -> bytes:
-        """Returns the part of the body that is there and was not taken."""
+        """Returns the received part of the body that was not taken yet."""
         data = b"".join(self._chunks)
         self._chunks.clear()
         return data
 
     @property
     def keep_s(self) -> float:
-        """How long the endpoint keeps it open; 0 where it must be closed.
+        """Time for which the endpoint keeps it open; 0 if it must be closed.
 
-        Only after a whole exchange in which all went as it should, and only
-        where the endpoint tells the time: a request may otherwise cross its
-        close, and nobody knows whether it has run.
+        Not 0 only after a complete exchange without errors, and if the endpoint
+        states the time. Otherwise the endpoint could close the connection while
+        a request is sent, so that it is unknown whether the request has run.
         """
         http = self._http
         done = http.our_state is h11.DONE and http.their_state is h11.DONE
         trailing, _ = http.trailing_data
-        if not (done and self.whole and self.sent) or self._refused:
+        if not (done and self.whole and self.sent) or self._request_cut:
             return 0.0
         if self._unsent or trailing or self.head is None:
             return 0.0
-        match = _KEEP.search(self.head.headers.get("keep-alive", ""))
+        match = _KEEPALIVE_TIMEOUT.search(
+            self.head.headers.get("keep-alive", "")
+        )
         return float(match[1]) if match else 0.0
 
     def is_quiet(self) -> bool:
-        """Tells whether an idle connection is open and nothing came on it.
+        """Returns whether an idle connection is open and received no data.
 
-        What came belongs to no request: an answer too many, or the end.
+        Such data belongs to no request: a surplus answer, or the end of the
+        connection.
         """
         poll = select.poll()
         poll.register(self._socket, select.POLLIN)
         return not poll.poll(0)
 
     def renew(self) -> None:
-        """Prepares for the next request after a whole exchange."""
+        """Prepares for the next request after a complete exchange."""
         self._http.start_next_cycle()
         self._chunks.clear()
         self.head = None
         self.whole = self.sent = False
 
     def close(self) -> None:
-        """Closes it; an endpoint that is at work on a request drops it."""
+        """Closes the connection, which cancels a running request."""
         self._socket.close()
 
 
--- a/cardamombarrow/endpoints/engine.py
+++ b/cardamombarrow/endpoints/engine.py
@@ -1,4 +1,4 @@
-"""Model engines: OpenAI-compatible HTTP, SSE, load in Prometheus text."""
+"""Model engines: OpenAI-compatible HTTP, SSE, Prometheus load metrics."""
 
 import re
 import time
@@ -21,7 +21,7 @@
 
 @registry.plugin("endpoint-kind", "engine")
 class EngineKind(base.EndpointKind):
-    """An engine that batches continuously."""
+    """An engine with continuous batching."""
 
     def open(self, call: base.OutgoingCall) -> base.Exchange:
         """Prepares a completion request."""
@@ -50,28 +50,28 @@
         return parse_report(reply.body.decode(), time.monotonic())
 
     def resumable(self, head: base.Head) -> bool:
-        """Engines that resume streams say so in the stream's head."""
+        """Returns whether a stream states in its header to be resumable."""
         return head.streams and head.headers.get("x-resumable") == "yes"
 
     def not_started(self, head: base.Head) -> bool:
-        """Engines answer 429 or 503 to what they did not start."""
+        """Returns True for 429 and 503: engines send them before the start."""
         return head.status in _NOT_STARTED
 
     def failed(self, head: base.Head) -> bool:
-        """Any other status from 500 on is the engine's failure."""
+        """Returns True for status 500 and above."""
         return head.status >= 500
 
     def count_tokens(self, chunk: bytes) -> int:
-        """Counts events; engines send one token in each."""
+        """Counts events; engines send one token in each event."""
         return chunk.count(b"data: {")
 
     def tokens_at_end(self, tail: bytes) -> int:
-        """Reads the usage that closes an answer that is not streamed."""
+        """Reads the usage at the end of an answer that is not streamed."""
         found = _USAGE.findall(tail)
         return int(found[-1]) if found else 0
 
     def is_whole(self, head: base.Head, tail: bytes) -> bool:
-        """A stream is whole when it closes with the ``[DONE]`` event."""
+        """Returns whether the stream ends with the ``[DONE]`` event."""
         return tail.rstrip().endswith(_DONE)
 
 
--- a/cardamombarrow/endpoints/http_get.py
+++ b/cardamombarrow/endpoints/http_get.py
@@ -1,4 +1,4 @@
-"""One short GET or POST by pycurl, for reports, listings and operators."""
+"""Short HTTP requests by pycurl, for load reports, lists and operators."""
 
 import dataclasses
 import io
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
@@ -25,12 +25,13 @@
     headers: tuple[str, ...] = (),
     ca_file: str = "",
 ) -> Reply:
-    """Sends one request on a connection of its own and reads the answer.
+    """Sends one request on a new connection and reads the answer.
 
     Raises:
-        errors.EndpointError: No whole answer came in time.
+        errors.EndpointError: No complete answer came in time.
     """
-    # Most entries never ask anything here, and libcurl takes over a megabyte.
+    # Imported on use: libcurl takes over a megabyte, and most entries never
+    # call this function.
     import pycurl
 
     buffer = io.BytesIO()
--- a/cardamombarrow/endpoints/plain.py
+++ b/cardamombarrow/endpoints/plain.py
@@ -1,4 +1,4 @@
-"""Plain HTTP services beside the engines."""
+"""Plain HTTP services, which are not engines."""
 
 from cardamombarrow.decisions import messages
 from cardamombarrow.endpoints import base
@@ -12,7 +12,7 @@
 
 @registry.plugin("endpoint-kind", "plain")
 class PlainKind(base.EndpointKind):
-    """A service whose answers are passed on as they are."""
+    """A service whose answers are relayed unchanged."""
 
     def open(self, call: base.OutgoingCall) -> base.Exchange:
         """Prepares a request to the service."""
@@ -25,21 +25,21 @@
     def poll(
         self, endpoint: ids.EndpointId, timeout_s: float
     ) -> messages.LoadReport | None:
-        """Reads ``/metrics``, as engines offer it."""
+        """Reads ``/metrics``, in the format of engines."""
         return engine.EngineKind().poll(endpoint, timeout_s)
 
     def not_started(self, head: base.Head) -> bool:
-        """Never: a service may answer 503 to what it ran in part."""
+        """Returns False: a service may answer 503 to a partly run request."""
         return False
 
     def failed(self, head: base.Head) -> bool:
-        """Never: the service's answers are its callers' to read."""
+        """Returns False: all answers of a service are for its callers."""
         return False
 
     def count_tokens(self, chunk: bytes) -> int:
-        """Counts nothing: there are no tokens."""
+        """Returns 0: answers of plain services have no tokens."""
         return 0
 
     def is_whole(self, head: base.Head, tail: bytes) -> bool:
-        """HTTP framing alone tells, and the transfer has checked it."""
+        """Returns True: `transfer` has checked the HTTP framing already."""
         return True
--- a/cardamombarrow/endpoints/poller.py
+++ b/cardamombarrow/endpoints/poller.py
@@ -1,4 +1,4 @@
-"""Reads every endpoint's load, one task per endpoint."""
+"""Polls the load of endpoints, one task per endpoint."""
 
 from collections import abc
 from concurrent import futures
@@ -17,7 +17,7 @@
 
 
 class Poller(lifecycle.Part):
-    """Polls the endpoints it is told to, each at a fixed interval."""
+    """Polls a set of endpoints, each at a fixed interval."""
 
     def __init__(self, interval_s: float, on_report: OnReport):
         self._interval_s = interval_s
@@ -58,7 +58,7 @@
                 report = kind.poll(endpoint, self._interval_s)
             except errors.EndpointError as error:
                 logs.event(
-                    "load report missed",
+                    "load report failed",
                     "DEBUG",
                     endpoint=endpoint,
                     detail=error.detail,
--- a/cardamombarrow/endpoints/pool.py
+++ b/cardamombarrow/endpoints/pool.py
@@ -1,17 +1,18 @@
-"""Connections to endpoints that wait for their next request.
-
-A new connection costs the endpoint work and a request a round trip, 60 ms
-between regions. What can go wrong on one that was idle: the endpoint closes
-it as a request comes, or it went silent, and nobody knows whether the request
-has run. One that may run twice is sent again elsewhere; one that may not is
-lost. So a request that may run once only takes a connection that was in use a
-moment ago, and every request one that the endpoint keeps for much longer.
-
-`KEEP_SHARE` leaves half of the time that an endpoint tells, which covers clocks
-of different pace and a busy network. `ONCE_S` bounds what a fault can hit:
-connections that were used in the second before it. `MOST_IDLE` serves the
-requests that one entry has at an endpoint at most moments, and keeps what all
-entries hold open well below what endpoints accept.
+"""Pool of idle connections to endpoints.
+
+A new connection costs the endpoint work, and the request a round trip: 60 ms
+between regions. But the endpoint may close an idle connection while a request
+is sent, or the connection may have gone silent, and it is then unknown whether
+the request has run. A repeatable request is sent again elsewhere; an
+unrepeatable one is lost. So unrepeatable requests only reuse connections that
+were in use a moment before, and no request uses a connection that the endpoint
+is about to close.
+
+`KEEP_SHARE` uses half of the keep-alive time that an endpoint states; the rest
+covers clocks of different speed and a busy network. `ONCE_S` bounds the effect
+of a fault to connections that were used in the second before it. `MOST_IDLE`
+usually covers the requests of one entry at an endpoint, and keeps the open
+connections of all entries well below the limit of endpoints.
 """
 
 import threading
@@ -31,16 +32,16 @@
 class Pool:
     """Idle connections by endpoint; used by all threads.
 
-    An endpoint that starts anew has another identity, so that no request
-    meets a connection to the one before at its address.
+    An endpoint that restarts has another identity, so that no request uses a
+    connection to the previous endpoint at the same address.
     """
 
     def __init__(self, time_source: clock.Clock):
         """Builds an empty pool.
 
         Args:
-            time_source: A clock that counts the time in which the machine was
-                suspended; connections age in it.
+            time_source: A clock that includes the time in which the machine
+                was suspended, because connections age in it.
         """
         self._clock = time_source
         self._lock = threading.Lock()
@@ -49,18 +50,18 @@
     def take(
         self, endpoint: ids.EndpointId, *, repeatable: bool
     ) -> connection.Connection | None:
-        """Returns a connection that a request may use; None for a new one.
+        """Returns an idle connection for a request; None if there is none.
 
         Args:
             endpoint: The endpoint.
             repeatable: Whether the request may run twice.
         """
         now_s = self._clock.now_s()
-        most_s = REPEATABLE_S if repeatable else ONCE_S
+        max_idle_s = REPEATABLE_S if repeatable else ONCE_S
         with self._lock:
             self._close_old(now_s)
             idle = self._idle.get(endpoint, [])
-            while idle and now_s - idle[-1].idle_since_s <= most_s:
+            while idle and now_s - idle[-1].idle_since_s <= max_idle_s:
                 newest = idle.pop()
                 if newest.is_quiet():
                     newest.renew()
@@ -71,7 +72,7 @@
     def give(
         self, endpoint: ids.EndpointId, used: connection.Connection
     ) -> None:
-        """Takes a connection back, or closes it."""
+        """Returns a connection to the pool, or closes it."""
         with self._lock:
             idle = self._idle.setdefault(endpoint, [])
             if used.keep_s <= 0.0 or len(idle) >= MOST_IDLE:
@@ -88,5 +89,5 @@
                 del self._idle[endpoint]
 
     def _is_old(self, idle: connection.Connection, now_s: float) -> bool:
-        most_s = min(KEEP_SHARE * idle.keep_s, REPEATABLE_S)
-        return now_s - idle.idle_since_s > most_s
+        max_idle_s = min(KEEP_SHARE * idle.keep_s, REPEATABLE_S)
+        return now_s - idle.idle_since_s > max_idle_s
--- a/cardamombarrow/endpoints/tests/test_pool.py
+++ b/cardamombarrow/endpoints/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that serve more than one request."""
+"""Tests of connections that serve more than one request."""
 
 import queue
 import socket
@@ -14,13 +14,13 @@
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 
-_KEPT = (
+_REUSABLE = (
     b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\n"
 )
 _WAIT_S = 10.0
 
 
-class _Nobody(base.CallerWatch):
+class _NoCaller(base.CallerWatch):
     def fileno(self):
         return -1
 
@@ -29,10 +29,10 @@
 
 
 class _Endpoint:
-    """Answers each request with the next of some scripted answers.
+    """Answers each request with the next scripted answer.
 
     Attributes:
-        requests: Number of the connection on which each request came.
+        requests: Number of the connection of each request.
     """
 
     def __init__(self, *answers):
@@ -106,7 +106,7 @@
             rank=0,
             deadline_s=time.monotonic() + _WAIT_S,
             stall_limit_s=30.0,
-            caller=_Nobody(),
+            caller=_NoCaller(),
             cancelled=lambda: False,
             repeatable=repeatable,
         )
@@ -134,112 +134,112 @@
         each.endpoint.stop()
 
 
-def test_a_request_takes_the_connection_of_the_one_before(world):
+def test_a_request_reuses_the_previous_connection(world):
     # Each new connection costs the endpoint work, and a request to another
     # region a round trip of 60 ms before anything is sent.
-    here = world(_KEPT + b"ab", _KEPT + b"cd")
-    assert here.ask() == b"ab"
-    assert here.ask(repeatable=False) == b"cd"
-    assert here.endpoint.requests == [1, 1]
+    env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
+    assert env.ask() == b"ab"
+    assert env.ask(repeatable=False) == b"cd"
+    assert env.endpoint.requests == [1, 1]
 
 
 @pytest.mark.parametrize(
     "first",
     [
-        # It tells no time: it may be closing it now.
+        # Without a keep-alive time the endpoint may be closing it already.
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
         b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nConnection: close\r\n"
         b"Content-Length: 2\r\n\r\nab",
-        # Another answer follows, which the next request would take for its.
-        _KEPT + b"ab" + _KEPT + b"xx",
+        # The next request would read the second answer as its own.
+        _REUSABLE + b"ab" + _REUSABLE + b"xx",
     ],
 )
 def test_a_connection_that_may_end_or_mix_answers_is_used_once(world, first):
-    here = world(first, _KEPT + b"cd")
-    assert here.ask() == b"ab"
-    assert here.ask() == b"cd"
-    assert here.endpoint.requests == [1, 2]
+    env = world(first, _REUSABLE + b"cd")
+    assert env.ask() == b"ab"
+    assert env.ask() == b"cd"
+    assert env.endpoint.requests == [1, 2]
 
 
-def test_a_connection_whose_answer_was_not_believed_is_closed(world):
-    # The answer bore another request's id, say. Whatever comes next on this
-    # connection can't be trusted either.
-    here = world(_KEPT + b"ab", _KEPT + b"cd")
-    here.ask(release=False)
-    assert here.endpoint.wait_closed() == 1
-    here.ask()
-    assert here.endpoint.requests == [1, 2]
+def test_a_connection_with_an_invalid_answer_is_closed(world):
+    # After an answer with the id of another request, for instance, later
+    # answers on the connection may be wrong too.
+    env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
+    env.ask(release=False)
+    assert env.endpoint.wait_closed() == 1
+    env.ask()
+    assert env.endpoint.requests == [1, 2]
 
 
 @pytest.mark.parametrize(
     ("idle_s", "repeatable", "kept"),
     [
         (pool_module.ONCE_S - 0.1, False, True),
-        # It went silent meanwhile, and nobody would know whether it has run.
+        # It may have gone silent: it is unknown whether a request has run.
         (pool_module.ONCE_S + 0.1, False, False),
         (pool_module.ONCE_S + 0.1, True, True),
         (pool_module.REPEATABLE_S + 0.1, True, False),
     ],
 )
-def test_what_may_run_once_takes_only_a_connection_just_used(
+def test_an_unrepeatable_request_reuses_only_a_recently_used_connection(
     world, idle_s, repeatable, kept
 ):
-    here = world(_KEPT + b"ab", _KEPT + b"cd")
-    here.ask()
-    here.clock.advance(idle_s)
-    here.ask(repeatable=repeatable)
-    assert here.endpoint.requests == ([1, 1] if kept else [1, 2])
+    env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
+    env.ask()
+    env.clock.advance(idle_s)
+    env.ask(repeatable=repeatable)
+    assert env.endpoint.requests == ([1, 1] if kept else [1, 2])
 
 
-def test_no_request_crosses_the_close_of_an_idle_connection(world):
-    # The endpoint closes what is idle for two seconds. A request sent at that
-    # moment may or may not have run.
-    kept = _KEPT.replace(b"timeout=10", b"timeout=2")
-    here = world(kept + b"ab", kept + b"cd")
-    here.ask()
-    here.clock.advance(2.0 * pool_module.KEEP_SHARE + 0.1)
-    here.ask()
-    assert here.endpoint.requests == [1, 2]
+def test_a_connection_is_not_used_near_its_keep_alive_timeout(world):
+    # The endpoint closes connections after two idle seconds. A request sent at
+    # that time may or may not have run.
+    kept = _REUSABLE.replace(b"timeout=10", b"timeout=2")
+    env = world(kept + b"ab", kept + b"cd")
+    env.ask()
+    env.clock.advance(2.0 * pool_module.KEEP_SHARE + 0.1)
+    env.ask()
+    assert env.endpoint.requests == [1, 2]
 
 
 def test_a_connection_that_the_endpoint_has_closed_is_not_used(world):
-    here = world(_KEPT + b"ab", _KEPT + b"cd")
-    here.ask()
-    here.endpoint.open[0].shutdown(socket.SHUT_RDWR)
-    here.endpoint.wait_closed()
-    here.ask(repeatable=False)
-    assert here.endpoint.requests == [1, 2]
+    env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
+    env.ask()
+    env.endpoint.open[0].shutdown(socket.SHUT_RDWR)
+    env.endpoint.wait_closed()
+    env.ask(repeatable=False)
+    assert env.endpoint.requests == [1, 2]
 
 
-def test_an_answer_too_many_is_not_taken_for_the_next_requests(world):
-    # It comes late, while the connection is idle.
-    here = world(_KEPT + b"ab", _KEPT + b"cd")
-    here.ask()
-    here.endpoint.open[0].sendall(_KEPT + b"xx")
-    assert here.ask() == b"cd"
-    assert here.endpoint.requests == [1, 2]
+def test_a_surplus_answer_is_not_used_for_the_next_request(world):
+    # It arrives late, while the connection is idle.
+    env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
+    env.ask()
+    env.endpoint.open[0].sendall(_REUSABLE + b"xx")
+    assert env.ask() == b"cd"
+    assert env.endpoint.requests == [1, 2]
 
 
 def test_a_request_on_a_dead_connection_is_not_sent_again(world):
-    # The endpoint dies as the request comes. Sent once more by the client
-    # itself, unasked, a booking would be made twice.
-    here = world(_KEPT + b"ab", b"")
-    here.ask()
+    # The endpoint fails when the request arrives. If the client sent it again
+    # by itself, a booking would be made twice.
+    env = world(_REUSABLE + b"ab", b"")
+    env.ask()
     with pytest.raises(errors.EndpointError) as caught:
-        here.ask(repeatable=False)
+        env.ask(repeatable=False)
     assert caught.value.not_run is False
-    assert here.endpoint.requests == [1, 1]
+    assert env.endpoint.requests == [1, 1]
 
 
-def test_few_connections_stay_open(world):
-    # All entries together may hold only so many at an endpoint, which resets
-    # those above, also ones with a request on them.
+def test_the_number_of_idle_connections_is_bounded(world):
+    # An endpoint limits the connections of all entries together, and resets
+    # those above the limit even if they have a running request.
     count = pool_module.MOST_IDLE + 3
-    here = world(*[_KEPT + b"ab"] * count)
+    env = world(*[_REUSABLE + b"ab"] * count)
     barrier = threading.Barrier(count)
 
     def ask():
-        call = here.ask
+        call = env.ask
         barrier.wait()
         call()
 
@@ -248,5 +248,5 @@
         each.start()
     for each in exchanges:
         each.join()
-    idle = sum(len(each) for each in here.pool._idle.values())
+    idle = sum(len(each) for each in env.pool._idle.values())
     assert 1 <= idle <= pool_module.MOST_IDLE
--- a/cardamombarrow/endpoints/tests/test_transfer.py
+++ b/cardamombarrow/endpoints/tests/test_transfer.py
@@ -1,4 +1,4 @@
-"""Exchanges with endpoints that take a request and do not answer."""
+"""Tests of exchanges with endpoints that never answer."""
 
 import dataclasses
 import socket
@@ -12,7 +12,7 @@
 from cardamombarrow.kernel import ids
 
 
-class _Nobody(base.CallerWatch):
+class _NoCaller(base.CallerWatch):
     def fileno(self):
         return -1
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def silent():
-    """The address of a port that takes connections and says nothing."""
+    """Address of a port that accepts connections and sends nothing."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         yield f"127.0.0.1:{server.getsockname()[1]}"
 
@@ -39,7 +39,7 @@
         rank=0,
         deadline_s=time.monotonic() + 1.0,
         stall_limit_s=30.0,
-        caller=_Nobody(),
+        caller=_NoCaller(),
         cancelled=lambda: False,
         first_byte_limit_s=0.1,
     )
@@ -55,16 +55,13 @@
     return caught.value
 
 
-def test_an_endpoint_that_never_answers_is_given_up_where_another_can_help(
-    call,
-):
-    # A faulty endpoint takes requests and answers none; it looks alive to
-    # every probe. A request that may run twice has to go elsewhere, long
-    # before its deadline.
+def test_a_late_answer_is_given_up_if_the_request_can_be_redone(call):
+    # A faulty endpoint accepts requests, answers none and passes every probe.
+    # A repeatable request must go elsewhere long before its deadline.
     error = _error(dataclasses.replace(call, may_redo=lambda: True))
     assert error.kind is errors.ErrorKind.STALLED
     assert error.not_run is False
 
 
-def test_it_is_waited_for_where_no_other_can(call):
+def test_a_late_answer_is_awaited_if_the_request_can_not_be_redone(call):
     assert _error(call).kind is errors.ErrorKind.DEADLINE
--- a/cardamombarrow/endpoints/transfer.py
+++ b/cardamombarrow/endpoints/transfer.py
@@ -1,11 +1,11 @@
 """One HTTP exchange with an endpoint, driven by the thread that relays it.
 
-The client is our own, over h11's parser, because of what must not happen. A
-library that keeps connections sends a request again by itself when a kept one
-turns out to be dead; for an unrepeatable request that is a second run, and for
-one that crashes endpoints a second crash. Here nothing is sent twice, and a
-connection serves another request only after an answer that was whole and
-believed (`Exchange.release`); see `pool`.
+This is a separate HTTP client, based on h11's parser, because libraries with
+connection pools send a request again if a pooled connection turns out to be
+dead. An unrepeatable request would then run twice, and one that crashes
+endpoints would cause a second crash. Here nothing is sent twice, and a
+connection serves another request only after an answer that was complete and
+valid (`Exchange.release`); see `pool`.
 """
 
 from collections import abc
@@ -22,21 +22,21 @@
 __all__ = ["POOL", "HttpExchange"]
 
 CONNECT_TIMEOUT_S = 0.5
-"""An endpoint that does not accept within this is not reached. Some round
-trips between regions; nothing was sent, so that every request can still go
-elsewhere, and with 2 s its caller had left by then."""
+"""Time after which an endpoint that does not accept is unreachable. It covers
+some round trips between regions. Nothing was sent yet, so that every request
+can still go elsewhere; with 2 s, callers had left by then."""
 
 WAIT_SLICE_S = 0.25
-"""Longest wait before cancellation by the dispatcher is looked at again."""
+"""Longest time between two checks for cancellation by the dispatcher."""
 
 POOL = pool_module.Pool(clock.BootClock())
-"""The idle connections of this process."""
+"""Idle connections of this process."""
 
 _BODY_METHODS = ("POST", "PUT", "PATCH")
 
 
 class HttpExchange(base.Exchange):
-    """An exchange over a new or a kept connection."""
+    """An exchange over a new or a pooled connection."""
 
     def __init__(
         self,
@@ -49,18 +49,18 @@
 
         Args:
             call: The request.
-            headers: Its header fields, without those of the framing.
-            probe: Tells whether an endpoint takes a new connection.
-            pool: Where connections are kept.
+            headers: Its header fields, without those for framing.
+            probe: Returns whether an endpoint answers on a new connection.
+            pool: Pool of idle connections.
         """
         self._call = call
         self._headers = headers
         self._probe = probe
         self._pool = pool
         self._connection: connection_module.Connection | None = None
-        self._broken: str | None = None
-        self._believed = False
-        self._begin_s = self._heard_s = time.monotonic()
+        self._error: str | None = None
+        self._accepted = False
+        self._started_s = self._received_s = time.monotonic()
         self._poll = select.poll()
         caller_fd = call.caller.fileno()
         if caller_fd >= 0:
@@ -70,10 +70,10 @@
 
     def head(self) -> base.Head:
         """Sends the request and waits for status and headers."""
-        self._begin_s = self._heard_s = time.monotonic()
+        self._started_s = self._received_s = time.monotonic()
         connection = self._connect()
         while connection.head is None:
-            if self._broken is not None:
+            if self._error is not None:
                 raise self._failure()
             self._step()
             self._check_connect()
@@ -83,17 +83,17 @@
         return connection.head
 
     def chunks(self) -> abc.Iterator[bytes]:
-        """Yields the body; data that is ready together comes together."""
+        """Yields the body; data that is available together is one chunk."""
         connection = self._connection
-        assert connection is not None, "head comes first"
-        self._heard_s = time.monotonic()
+        assert connection is not None, "call head first"
+        self._received_s = time.monotonic()
         while True:
             data = connection.take()
             if data:
                 yield data
             elif connection.whole:
                 return
-            elif self._broken is not None:
+            elif self._error is not None:
                 raise self._failure()
             else:
                 self._step()
@@ -101,15 +101,15 @@
                     self._check_stall()
 
     def release(self) -> None:
-        """Lets the connection serve another request once this has ended."""
-        self._believed = True
+        """Allows the pool to reuse the connection after `close`."""
+        self._accepted = True
 
     def close(self) -> None:
-        """Ends the exchange; one that has not finished is cancelled."""
+        """Ends the exchange; cancels the request if it has not finished."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
-        if self._believed and connection.whole and self._broken is None:
+        if self._accepted and connection.whole and self._error is None:
             self._pool.give(self._call.endpoint, connection)
         else:
             connection.close()
@@ -131,7 +131,7 @@
         return connection
 
     def _fields(self) -> list[tuple[str, str]]:
-        """Returns the header fields with those of the framing."""
+        """Returns the header fields, including those for framing."""
         call = self._call
         fields = [
             (name, value)
@@ -154,7 +154,7 @@
             )
         if call.cancelled():
             raise errors.RefusedError(
-                errors.ErrorKind.PREEMPTED, "gave way to a higher tier"
+                errors.ErrorKind.PREEMPTED, "preempted by a higher tier"
             )
         wait_s = min(WAIT_SLICE_S, call.deadline_s - now_s)
         self._poll.modify(connection.fileno(), connection.events)
@@ -163,25 +163,25 @@
                 raise errors.RefusedError(
                     errors.ErrorKind.CALLER_GONE, "the caller left"
                 )
-            self._go_on(connection, mask)
+            self._process_events(connection, mask)
 
-    def _go_on(
+    def _process_events(
         self, connection: connection_module.Connection, mask: int
     ) -> None:
         try:
             connection.ready(mask)
         except connection_module.BrokenError as error:
-            self._broken = str(error)
+            self._error = str(error)
         if mask & select.POLLIN:
-            self._heard_s = time.monotonic()
+            self._received_s = time.monotonic()
 
     def _silent_s(self) -> float:
-        if self._broken is not None or self._connection.whole:
+        if self._error is not None or self._connection.whole:
             return 0.0
-        return time.monotonic() - self._heard_s
+        return time.monotonic() - self._received_s
 
     def _check_connect(self) -> None:
-        late = time.monotonic() - self._begin_s > CONNECT_TIMEOUT_S
+        late = time.monotonic() - self._started_s > CONNECT_TIMEOUT_S
         if late and not self._connection.connected:
             raise errors.EndpointError(
                 errors.ErrorKind.ENDPOINT_UNREACHED,
@@ -190,31 +190,31 @@
             )
 
     def _check_first_byte(self) -> None:
-        """Gives up an endpoint that is far too late, where another can help.
+        """Gives up if the answer is far too late and can be redone elsewhere.
 
-        One that takes requests and never answers looks alive to every probe;
-        the caller would wait for it until its deadline.
+        An endpoint that accepts requests and never answers passes every probe,
+        so the caller would wait until its deadline.
         """
         limit_s = self._call.first_byte_limit_s
-        if self._broken is not None or self._connection.head is not None:
+        if self._error is not None or self._connection.head is not None:
             return
-        late = time.monotonic() - self._begin_s > limit_s
+        late = time.monotonic() - self._started_s > limit_s
         if late and self._call.may_redo():
             raise self._endpoint_error(
                 errors.ErrorKind.STALLED, f"no answer within {limit_s:.2f} s"
             )
 
     def _check_alive(self) -> None:
-        # An answer that does not stream is silent until it is whole, so that
-        # its silence alone says nothing; only a dead endpoint ends the wait.
+        # An answer that does not stream sends nothing until it is complete, so
+        # only a failed probe ends the wait.
         silent_s = self._silent_s()
         if not self._probe(self._call.endpoint):
             raise self._endpoint_error(
                 errors.ErrorKind.STALLED,
-                f"silent for {silent_s:.1f} s; a new connection is not "
-                "answered either",
+                f"silent for {silent_s:.1f} s; the endpoint does not answer "
+                "a new connection either",
             )
-        self._heard_s = time.monotonic()
+        self._received_s = time.monotonic()
 
     def _check_stall(self) -> None:
         silent_s = self._silent_s()
@@ -229,9 +229,9 @@
             )
 
     def _failure(self) -> errors.EndpointError:
-        text = self._broken or "no answer"
+        text = self._error or "no answer"
         if not self._connection.sent:
-            # Nothing of the request left this instance.
+            # No part of the request was sent.
             return errors.EndpointError(
                 errors.ErrorKind.ENDPOINT_UNREACHED, text, sent=False
             )
