--- a/cardamombarrow/endpoints/base.py
+++ b/cardamombarrow/endpoints/base.py
@@ -207,11 +207,11 @@
             errors.EndpointError: It answers another request, or is damaged.
         """
 
-    def load_in(self, head: Head) -> messages.LoadReport | None:
+    def read_load(self, head: Head) -> messages.LoadReport | None:
         """Reads the endpoint's load from an answer; None if it has none."""
         return None
 
-    def rate_limit_in(
+    def read_rate_limit(
         self, head: Head, call: OutgoingCall
     ) -> messages.RateLimit | None:
         """Reads the endpoint's rate limit from an answer.
@@ -224,7 +224,7 @@
         """
         return parse_rate_limit(head.headers.get("x-rate-limit"))
 
-    def last_event(self, chunk: bytes) -> str:
+    def last_event_id(self, chunk: bytes) -> str:
         """Returns the id of the last event in a chunk; empty for none."""
         return ""
 
@@ -233,7 +233,7 @@
         """Returns whether the answer states that the request did not run."""
 
     @abc.abstractmethod
-    def failed(self, head: Head) -> bool:
+    def is_failure(self, head: Head) -> bool:
         """Returns whether the answer is a failure, to be redone elsewhere."""
 
     @abc.abstractmethod
--- a/cardamombarrow/endpoints/connection.py
+++ b/cardamombarrow/endpoints/connection.py
@@ -81,14 +81,14 @@
             return select.POLLOUT
         return select.POLLIN | (select.POLLOUT if self._unsent else 0)
 
-    def begin(
+    def start_request(
         self,
         method: str,
         target: str,
         headers: abc.Iterable[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Starts the next request; `ready` sends it as the socket allows.
+        """Starts the next request, which `handle_events` sends.
 
         Raises:
             errors.RefusedError: The request can't be written as HTTP.
@@ -113,7 +113,7 @@
         self._unsent = memoryview(data)
         self.sent = False
 
-    def ready(self, mask: int) -> None:
+    def handle_events(self, mask: int) -> None:
         """Sends and receives after `poll` has returned the socket.
 
         Args:
@@ -183,14 +183,14 @@
             elif not isinstance(event, h11.InformationalResponse):
                 return
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """Returns the received part of the body that was not taken yet."""
         data = b"".join(self._chunks)
         self._chunks.clear()
         return data
 
     @property
-    def keep_s(self) -> float:
+    def keep_alive_s(self) -> float:
         """Time for which the endpoint keeps it open; 0 if it must be closed.
 
         Not 0 only after a complete exchange without errors, and if the endpoint
@@ -209,7 +209,7 @@
         )
         return float(match[1]) if match else 0.0
 
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Returns whether an idle connection is open and received no data.
 
         Such data belongs to no request: a surplus answer, or the end of the
@@ -219,7 +219,7 @@
         poll.register(self._socket, select.POLLIN)
         return not poll.poll(0)
 
-    def renew(self) -> None:
+    def reset(self) -> None:
         """Prepares for the next request after a complete exchange."""
         self._http.start_next_cycle()
         self._chunks.clear()
--- a/cardamombarrow/endpoints/engine.py
+++ b/cardamombarrow/endpoints/engine.py
@@ -57,7 +57,7 @@
         """Returns True for 429 and 503: engines send them before the start."""
         return head.status in _NOT_STARTED
 
-    def failed(self, head: base.Head) -> bool:
+    def is_failure(self, head: base.Head) -> bool:
         """Returns True for status 500 and above."""
         return head.status >= 500
 
--- a/cardamombarrow/endpoints/plain.py
+++ b/cardamombarrow/endpoints/plain.py
@@ -32,7 +32,7 @@
         """Returns False: a service may answer 503 to a partly run request."""
         return False
 
-    def failed(self, head: base.Head) -> bool:
+    def is_failure(self, head: base.Head) -> bool:
         """Returns False: all answers of a service are for its callers."""
         return False
 
--- a/cardamombarrow/endpoints/pool.py
+++ b/cardamombarrow/endpoints/pool.py
@@ -8,11 +8,11 @@
 were in use a moment before, and no request uses a connection that the endpoint
 is about to close.
 
-`KEEP_SHARE` uses half of the keep-alive time that an endpoint states; the rest
-covers clocks of different speed and a busy network. `ONCE_S` bounds the effect
-of a fault to connections that were used in the second before it. `MOST_IDLE`
-usually covers the requests of one entry at an endpoint, and keeps the open
-connections of all entries well below the limit of endpoints.
+`KEEP_ALIVE_SHARE` uses half of the keep-alive time that an endpoint states; the
+rest covers clocks of different speed and a busy network. `UNREPEATABLE_IDLE_S`
+limits the effect of a fault to connections that were used in the second before
+it. `MAX_IDLE` usually covers the requests of one entry at an endpoint, and keeps
+the open connections of all entries well below the limit of endpoints.
 """
 
 import threading
@@ -23,10 +23,10 @@
 
 __all__ = ["Pool"]
 
-KEEP_SHARE = 0.5
-ONCE_S = 1.0
-REPEATABLE_S = 4.0
-MOST_IDLE = 3
+KEEP_ALIVE_SHARE = 0.5
+UNREPEATABLE_IDLE_S = 1.0
+REPEATABLE_IDLE_S = 4.0
+MAX_IDLE = 3
 
 
 class Pool:
@@ -57,25 +57,25 @@
             repeatable: Whether the request may run twice.
         """
         now_s = self._clock.now_s()
-        max_idle_s = REPEATABLE_S if repeatable else ONCE_S
+        max_idle_s = REPEATABLE_IDLE_S if repeatable else UNREPEATABLE_IDLE_S
         with self._lock:
             self._close_old(now_s)
             idle = self._idle.get(endpoint, [])
             while idle and now_s - idle[-1].idle_since_s <= max_idle_s:
                 newest = idle.pop()
-                if newest.is_quiet():
-                    newest.renew()
+                if newest.is_reusable():
+                    newest.reset()
                     return newest
                 newest.close()
         return None
 
-    def give(
+    def add(
         self, endpoint: ids.EndpointId, used: connection.Connection
     ) -> None:
         """Returns a connection to the pool, or closes it."""
         with self._lock:
             idle = self._idle.setdefault(endpoint, [])
-            if used.keep_s <= 0.0 or len(idle) >= MOST_IDLE:
+            if used.keep_alive_s <= 0.0 or len(idle) >= MAX_IDLE:
                 used.close()
                 return
             used.idle_since_s = self._clock.now_s()
@@ -89,5 +89,7 @@
                 del self._idle[endpoint]
 
     def _is_old(self, idle: connection.Connection, now_s: float) -> bool:
-        max_idle_s = min(KEEP_SHARE * idle.keep_s, REPEATABLE_S)
+        max_idle_s = min(
+            KEEP_ALIVE_SHARE * idle.keep_alive_s, REPEATABLE_IDLE_S
+        )
         return now_s - idle.idle_since_s > max_idle_s
--- a/cardamombarrow/endpoints/tests/test_pool.py
+++ b/cardamombarrow/endpoints/tests/test_pool.py
@@ -174,11 +174,11 @@
 @pytest.mark.parametrize(
     ("idle_s", "repeatable", "kept"),
     [
-        (pool_module.ONCE_S - 0.1, False, True),
+        (pool_module.UNREPEATABLE_IDLE_S - 0.1, False, True),
         # It may have gone silent: it is unknown whether a request has run.
-        (pool_module.ONCE_S + 0.1, False, False),
-        (pool_module.ONCE_S + 0.1, True, True),
-        (pool_module.REPEATABLE_S + 0.1, True, False),
+        (pool_module.UNREPEATABLE_IDLE_S + 0.1, False, False),
+        (pool_module.UNREPEATABLE_IDLE_S + 0.1, True, True),
+        (pool_module.REPEATABLE_IDLE_S + 0.1, True, False),
     ],
 )
 def test_an_unrepeatable_request_reuses_only_a_recently_used_connection(
@@ -197,7 +197,7 @@
     kept = _REUSABLE.replace(b"timeout=10", b"timeout=2")
     env = world(kept + b"ab", kept + b"cd")
     env.ask()
-    env.clock.advance(2.0 * pool_module.KEEP_SHARE + 0.1)
+    env.clock.advance(2.0 * pool_module.KEEP_ALIVE_SHARE + 0.1)
     env.ask()
     assert env.endpoint.requests == [1, 2]
 
@@ -234,7 +234,7 @@
 def test_the_number_of_idle_connections_is_bounded(world):
     # An endpoint limits the connections of all entries together, and resets
     # those above the limit even if they have a running request.
-    count = pool_module.MOST_IDLE + 3
+    count = pool_module.MAX_IDLE + 3
     env = world(*[_REUSABLE + b"ab"] * count)
     barrier = threading.Barrier(count)
 
@@ -249,4 +249,4 @@
     for each in exchanges:
         each.join()
     idle = sum(len(each) for each in env.pool._idle.values())
-    assert 1 <= idle <= pool_module.MOST_IDLE
+    assert 1 <= idle <= pool_module.MAX_IDLE
--- a/cardamombarrow/endpoints/transfer.py
+++ b/cardamombarrow/endpoints/transfer.py
@@ -88,7 +88,7 @@
         assert connection is not None, "call head first"
         self._received_s = time.monotonic()
         while True:
-            data = connection.take()
+            data = connection.take_body()
             if data:
                 yield data
             elif connection.whole:
@@ -110,7 +110,7 @@
         if connection is None:
             return
         if self._accepted and connection.whole and self._error is None:
-            self._pool.give(self._call.endpoint, connection)
+            self._pool.add(self._call.endpoint, connection)
         else:
             connection.close()
 
@@ -126,7 +126,9 @@
                 errors.ErrorKind.ENDPOINT_UNREACHED, str(error), sent=False
             ) from None
         self._connection = connection
-        connection.begin(call.method, call.path, self._fields(), call.body)
+        connection.start_request(
+            call.method, call.path, self._fields(), call.body
+        )
         self._poll.register(connection.fileno(), connection.events)
         return connection
 
@@ -169,7 +171,7 @@
         self, connection: connection_module.Connection, mask: int
     ) -> None:
         try:
-            connection.ready(mask)
+            connection.handle_events(mask)
         except connection_module.BrokenError as error:
             self._error = str(error)
         if mask & select.POLLIN:
--- a/cardamombarrow/entry/life.py
+++ b/cardamombarrow/entry/life.py
@@ -137,7 +137,7 @@
                 raise
             try:
                 run = self._first_piece(ticket, exchange)
-                if not self._kind.failed(run.head):
+                if not self._kind.is_failure(run.head):
                     return run
             except errors.RouterError as error:
                 exchange.close()
@@ -193,7 +193,7 @@
         if not self._call.streams:
             self._progress.began()
         self._kind.check(head, self._outgoing(ticket))
-        if self._kind.failed(head) and not self._kind.relays_failures:
+        if self._kind.is_failure(head) and not self._kind.relays_failures:
             raise pieces.failure_of(head)
         if self._relaying and not (head.status == 200 and head.streams):
             # The head of the answer is out: what is no stream would be read
@@ -208,7 +208,7 @@
         chunks = exchange.chunks()
         if resumable:
             chunks = pieces.whole_events(chunks)
-        if pieces.is_short(head) or self._kind.failed(head):
+        if pieces.is_short(head) or self._kind.is_failure(head):
             first = b"".join(chunks)
         else:
             first = next(chunks, b"")
@@ -217,7 +217,7 @@
     def _take_load(
         self, ticket: ticket_module.Ticket, head: endpoints_base.Head
     ) -> None:
-        report = self._kind.load_in(head)
+        report = self._kind.read_load(head)
         if report is not None:
             endpoint = ticket.placed.result().endpoint
             self._services.broker.answer_load(endpoint, report)
@@ -225,7 +225,7 @@
     def _take_rate_limit(
         self, ticket: ticket_module.Ticket, head: endpoints_base.Head
     ) -> None:
-        limit = self._kind.rate_limit_in(head, self._outgoing(ticket))
+        limit = self._kind.read_rate_limit(head, self._outgoing(ticket))
         if limit is not None:
             endpoint = ticket.placed.result().endpoint
             self._services.broker.answer_rate_limit(endpoint, limit)
@@ -355,7 +355,7 @@
                 progress.tokens += self._kind.count_tokens(chunk)
                 if run.resumable:
                     self._last_event = (
-                        self._kind.last_event(chunk) or self._last_event
+                        self._kind.last_event_id(chunk) or self._last_event
                     )
                 broker.progress(request_id, progress.tokens)
                 yield chunk
--- a/cardamombarrow/platform/servers.py
+++ b/cardamombarrow/platform/servers.py
@@ -65,7 +65,7 @@
     def poll(
         self, endpoint: ids.EndpointId, timeout_s: float
     ) -> messages.LoadReport | None:
-        """Returns None: the load is read from answers, see `load_in`."""
+        """Returns None: the load is read from answers, see `read_load`."""
         return None
 
     def probe(self, endpoint: ids.EndpointId) -> bool:
@@ -103,11 +103,11 @@
                 errors.ErrorKind.ENDPOINT_FAILED, problem, sent=True
             )
 
-    def failed(self, head: base.Head) -> bool:
+    def is_failure(self, head: base.Head) -> bool:
         """Returns True for status 500 and above."""
         return head.status >= 500
 
-    def load_in(self, head: base.Head) -> messages.LoadReport | None:
+    def read_load(self, head: base.Head) -> messages.LoadReport | None:
         """Reads the numbers of running and waiting requests."""
         match = _LOAD.fullmatch(head.headers.get("instance-load", ""))
         if match is None:
@@ -120,7 +120,7 @@
             measured_at_s=time.monotonic(),
         )
 
-    def rate_limit_in(
+    def read_rate_limit(
         self, head: base.Head, call: base.OutgoingCall
     ) -> messages.RateLimit | None:
         """Reads the request rate limit that the answer advertises.
@@ -163,7 +163,7 @@
         """Counts events."""
         return len(_EVENT.findall(chunk))
 
-    def last_event(self, chunk: bytes) -> str:
+    def last_event_id(self, chunk: bytes) -> str:
         """Returns the id of the last event in a chunk."""
         found = _EVENT_ID.findall(chunk)
         return found[-1].decode("latin-1").strip() if found else ""
--- a/cardamombarrow/platform/tests/test_servers.py
+++ b/cardamombarrow/platform/tests/test_servers.py
@@ -105,18 +105,18 @@
 def test_events_are_counted_and_the_last_id_is_found():
     chunk = b"id: 4\ndata: a\n\nid: 5\ndata: b\n\n"
     assert _KIND.count_tokens(chunk) == 2
-    assert _KIND.last_event(chunk) == "5"
-    assert _KIND.last_event(b": comment\n\n") == ""
+    assert _KIND.last_event_id(chunk) == "5"
+    assert _KIND.last_event_id(b": comment\n\n") == ""
 
 
 @pytest.mark.parametrize("sent", ["", "1,2", "1,2,x", "-1,2,3"])
 def test_a_load_that_cannot_be_read_is_no_load(sent):
     head = base.Head(200, {"instance-load": sent})
-    assert _KIND.load_in(head) is None
+    assert _KIND.read_load(head) is None
 
 
 def test_a_load_is_read():
-    report = _KIND.load_in(base.Head(200, {"instance-load": "3,1,8"}))
+    report = _KIND.read_load(base.Head(200, {"instance-load": "3,1,8"}))
     assert (report.running, report.waiting) == (3, 1)
 
 
@@ -166,7 +166,7 @@
     status, fields, stated
 ):
     head = base.Head(status, {**_GOOD, **fields})
-    assert _KIND.rate_limit_in(head, _call()).per_s == stated
+    assert _KIND.read_rate_limit(head, _call()).per_s == stated
 
 
 @pytest.mark.parametrize(
@@ -183,4 +183,4 @@
     status, fields
 ):
     head = base.Head(status, {**_GOOD, **fields})
-    assert _KIND.rate_limit_in(head, _call()) is None
+    assert _KIND.read_rate_limit(head, _call()) is None
