--- a/cardamombarrow/duties/order_planner.py
+++ b/cardamombarrow/duties/order_planner.py
@@ -22,7 +22,7 @@
 __all__ = ["Fleet", "Order", "OrderPlanner", "count_endpoints"]
 
 REFUSED_RETRY_S = 8.0
-"""Time until a refused order is sent again."""
+"""Time until a refused order, usually for spot endpoints, is sent again."""
 
 INVALID_RETRY_S = 60.0
 """Time until an order that the platform found invalid is sent again."""
--- a/cardamombarrow/endpoints/pool.py
+++ b/cardamombarrow/endpoints/pool.py
@@ -11,8 +11,8 @@
 `KEEP_ALIVE_SHARE` uses half of the keep-alive time that an endpoint states; the
 rest covers clocks of different speed and a busy network. `UNREPEATABLE_IDLE_S`
 limits the effect of a fault to connections that were used in the second before
-it. `MAX_IDLE` usually covers the requests of one entry at an endpoint, and keeps
-the open connections of all entries well below the limit of endpoints.
+it. `MAX_IDLE` usually covers the requests of one entry at an endpoint, and
+keeps the open connections of all entries well below the limit of endpoints.
 """
 
 import threading
--- a/cardamombarrow/endpoints/tests/test_pool.py
+++ b/cardamombarrow/endpoints/tests/test_pool.py
@@ -77,7 +77,7 @@
         self._closed.put(number)
 
     def wait_closed(self):
-        """Waits until the entry has closed a connection."""
+        """Waits until the client has closed a connection."""
         return self._closed.get(timeout=_WAIT_S)
 
     def stop(self):
@@ -94,7 +94,7 @@
         self.pool = pool_module.Pool(self.clock)
         self.endpoint = _Endpoint(*answers)
 
-    def ask(self, *, repeatable=True, release=True):
+    def send(self, *, repeatable=True, release=True):
         """Sends a request; returns the body."""
         call = base.OutgoingCall(
             request_id=ids.RequestId("r"),
@@ -138,8 +138,8 @@
     # Each new connection costs the endpoint work, and a request to another
     # region a round trip of 60 ms before anything is sent.
     env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
-    assert env.ask() == b"ab"
-    assert env.ask(repeatable=False) == b"cd"
+    assert env.send() == b"ab"
+    assert env.send(repeatable=False) == b"cd"
     assert env.endpoint.requests == [1, 1]
 
 
@@ -156,8 +156,8 @@
 )
 def test_a_connection_that_may_end_or_mix_answers_is_used_once(world, first):
     env = world(first, _REUSABLE + b"cd")
-    assert env.ask() == b"ab"
-    assert env.ask() == b"cd"
+    assert env.send() == b"ab"
+    assert env.send() == b"cd"
     assert env.endpoint.requests == [1, 2]
 
 
@@ -165,9 +165,9 @@
     # After an answer with the id of another request, for instance, later
     # answers on the connection may be wrong too.
     env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
-    env.ask(release=False)
+    env.send(release=False)
     assert env.endpoint.wait_closed() == 1
-    env.ask()
+    env.send()
     assert env.endpoint.requests == [1, 2]
 
 
@@ -185,38 +185,38 @@
     world, idle_s, repeatable, kept
 ):
     env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
-    env.ask()
+    env.send()
     env.clock.advance(idle_s)
-    env.ask(repeatable=repeatable)
+    env.send(repeatable=repeatable)
     assert env.endpoint.requests == ([1, 1] if kept else [1, 2])
 
 
 def test_a_connection_is_not_used_near_its_keep_alive_timeout(world):
     # The endpoint closes connections after two idle seconds. A request sent at
     # that time may or may not have run.
-    kept = _REUSABLE.replace(b"timeout=10", b"timeout=2")
-    env = world(kept + b"ab", kept + b"cd")
-    env.ask()
+    head = _REUSABLE.replace(b"timeout=10", b"timeout=2")
+    env = world(head + b"ab", head + b"cd")
+    env.send()
     env.clock.advance(2.0 * pool_module.KEEP_ALIVE_SHARE + 0.1)
-    env.ask()
+    env.send()
     assert env.endpoint.requests == [1, 2]
 
 
 def test_a_connection_that_the_endpoint_has_closed_is_not_used(world):
     env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
-    env.ask()
+    env.send()
     env.endpoint.open[0].shutdown(socket.SHUT_RDWR)
     env.endpoint.wait_closed()
-    env.ask(repeatable=False)
+    env.send(repeatable=False)
     assert env.endpoint.requests == [1, 2]
 
 
 def test_a_surplus_answer_is_not_used_for_the_next_request(world):
     # It arrives late, while the connection is idle.
     env = world(_REUSABLE + b"ab", _REUSABLE + b"cd")
-    env.ask()
+    env.send()
     env.endpoint.open[0].sendall(_REUSABLE + b"xx")
-    assert env.ask() == b"cd"
+    assert env.send() == b"cd"
     assert env.endpoint.requests == [1, 2]
 
 
@@ -224,9 +224,9 @@
     # The endpoint fails when the request arrives. If the client sent it again
     # by itself, a booking would be made twice.
     env = world(_REUSABLE + b"ab", b"")
-    env.ask()
+    env.send()
     with pytest.raises(errors.EndpointError) as caught:
-        env.ask(repeatable=False)
+        env.send(repeatable=False)
     assert caught.value.not_run is False
     assert env.endpoint.requests == [1, 1]
 
@@ -238,12 +238,12 @@
     env = world(*[_REUSABLE + b"ab"] * count)
     barrier = threading.Barrier(count)
 
-    def ask():
-        call = env.ask
+    def send():
+        call = env.send
         barrier.wait()
         call()
 
-    exchanges = [threading.Thread(target=ask) for _ in range(count)]
+    exchanges = [threading.Thread(target=send) for _ in range(count)]
     for each in exchanges:
         each.start()
     for each in exchanges:
--- a/cardamombarrow/orders/plan.py
+++ b/cardamombarrow/orders/plan.py
@@ -73,7 +73,7 @@
         self._next_s = 0.0
 
     def take(self, now_s: float) -> bool:
-        """Takes one load, if the rate allows it."""
+        """Returns whether a load may start now, and counts it."""
         if now_s < self._next_s:
             return False
         self._next_s = now_s + self._interval_s
@@ -107,7 +107,7 @@
         document: The document in force.
         observed: What each engine has loaded; engines that did not answer are
             missing, and get no orders.
-        rate: The weight store's limit; each load yielded takes from it.
+        rate: The weight store's limit; each yielded load counts against it.
         now_s: Monotonic time.
     """
     for service in document.services.values():
