--- a/cardamombarrow/duties/machine.py
+++ b/cardamombarrow/duties/machine.py
@@ -1,11 +1,11 @@
-"""Who holds the duties and what was reported, as a state machine on the log.
+"""Holder and usage reports of the duties, as a state machine on the log.
 
 The platform refuses a call whose fencing token is lower than one that it has
 seen. A call that got no answer may still be carried out seconds later, so the
 holder also takes a new token before it contradicts such a call.
 
-Two reports of one window must not differ, whoever sends them: what is reported
-is committed first, and the first commit stands.
+All reports of one window must be equal, also those of different holders. So a
+report is committed before it is sent, and only the first commit counts.
 """
 
 import dataclasses
@@ -15,16 +15,16 @@
 
 __all__ = ["DutiesState", "Report"]
 
-SETTLED_KEPT = 16
-"""Windows remembered whose report was taken."""
+MAX_SETTLED = 16
+"""Stored windows whose report the platform has taken."""
 
-OPEN_KEPT = 64
-"""Windows remembered whose report was not taken; the oldest are given up."""
+MAX_OPEN = 64
+"""Stored windows whose report is not taken; the oldest are dropped."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What is reported of one window.
+    """Usage report of one window.
 
     Attributes:
         counts: Requests that began to run, by workspace.
@@ -41,26 +41,25 @@
     """Holder and reports; the same at every voter.
 
     Attributes:
-        holders: The present holder.
-        before: The holder's instance before the present one; empty where
-            there was none.
+        holder_state: The current holder.
+        before: Instance of the previous holder; empty if there was none.
         reports: Committed reports, by window.
     """
 
     def __init__(self):
-        self.holders = orders_machine.OrdersState()
+        self.holder_state = orders_machine.HolderState()
         self.before = ids.InstanceId("")
         self.reports: dict[int, Report] = {}
 
     def take(self, instance: ids.InstanceId) -> orders_machine.Holder:
         """Makes a control process the holder, under a new token."""
-        if self.holders.holder.instance != instance:
-            self.before = self.holders.holder.instance
-        return self.holders.take(instance)
+        if self.holder_state.holder.instance != instance:
+            self.before = self.holder_state.holder.instance
+        return self.holder_state.take(instance)
 
     def renew(self, holder: orders_machine.Holder) -> bool:
-        """Tells whether a holder is still the one."""
-        return self.holders.renew(holder)
+        """Returns whether this is still the holder."""
+        return self.holder_state.renew(holder)
 
     def commit(
         self,
@@ -68,25 +67,25 @@
         counts: dict[ids.WorkspaceId, int],
         holder: orders_machine.Holder,
     ) -> Report | None:
-        """Fixes the report of a window.
+        """Commits the report of a window, unless one is committed already.
 
         Returns:
-            What stands for the window; None where the one that asks is not
-            the holder any more, or the window is too old to be known.
+            The committed report of the window; None if the caller is no longer
+            the holder, or if the window is too old to be stored.
         """
-        standing = self.reports.get(window)
-        if standing is not None:
-            return standing
+        committed = self.reports.get(window)
+        if committed is not None:
+            return committed
         if not self.renew(holder) or window < self._oldest():
             return None
         report = Report(dict(counts), holder.fencing)
-        # Another thread may be reading: what it reads is never changed.
+        # Replaced, not changed: other threads may be reading it.
         self.reports = {**self.reports, window: report}
         self._trim()
         return report
 
     def settle(self, window: int) -> None:
-        """Notes that the platform has taken a report."""
+        """Records that the platform has taken a report."""
         if window in self.reports:
             taken = dataclasses.replace(self.reports[window], taken=True)
             self.reports = {**self.reports, window: taken}
@@ -99,22 +98,22 @@
 
     def _oldest(self) -> int:
         newest = self.last_window
-        return 0 if newest is None else newest - OPEN_KEPT
+        return 0 if newest is None else newest - MAX_OPEN
 
     def _trim(self) -> None:
         oldest = self._oldest()
         settled = sorted(w for w, r in self.reports.items() if r.taken)
-        gone = set(settled[:-SETTLED_KEPT])
+        dropped = set(settled[:-MAX_SETTLED])
         self.reports = {
             window: report
             for window, report in self.reports.items()
-            if window >= oldest and window not in gone
+            if window >= oldest and window not in dropped
         }
 
     def to_json(self) -> dict:
         """Returns the state as plain JSON values, for a snapshot."""
         return {
-            "holder": self.holders.to_json(),
+            "holder": self.holder_state.to_json(),
             "before": self.before,
             "reports": [
                 {"window": window, **dataclasses.asdict(report)}
@@ -126,7 +125,7 @@
     def from_json(cls, raw: dict) -> "DutiesState":
         """Reads what `to_json` wrote."""
         state = cls()
-        state.holders = orders_machine.OrdersState.from_json(raw["holder"])
+        state.holder_state = orders_machine.HolderState.from_json(raw["holder"])
         state.before = ids.InstanceId(raw["before"])
         for item in raw["reports"]:
             counts = {
--- a/cardamombarrow/entry/progress.py
+++ b/cardamombarrow/entry/progress.py
@@ -46,7 +46,7 @@
         """Meters the request as started; only the first call counts."""
         if not self._counted:
             self._counted = True
-            self._meter.began(self._job.workspace)
+            self._meter.count_request(self._job.workspace)
 
     def first_piece(self, job: messages.Job) -> None:
         """Records the first piece of the answer.
@@ -58,7 +58,7 @@
         if job.streams:
             self.began()
             after_s = self.first_token_s - self._sent_s
-            self._meter.read(job.service, job.unread_tokens, after_s)
+            self._meter.count_prefill(job.service, job.unread_tokens, after_s)
 
     def add_piece(self) -> None:
         """Records a piece of the answer and updates the longest pause."""
