--- a/cardamombarrow/decisions/base.py
+++ b/cardamombarrow/decisions/base.py
@@ -1,7 +1,7 @@
-"""The slots of the decisions: one abstract base class each.
+"""Abstract base classes of the policies, one for each kind of decision.
 
 A policy is built from a `context.PolicyContext`, registers itself with
-``registry.plugin(<slot>, <name>)`` and is chosen by name in ``[policies]`` of
+``registry.plugin(<kind>, <name>)`` and is chosen by name in ``[policies]`` of
 the document. All methods are called under the dispatcher's lock.
 """
 
@@ -41,12 +41,12 @@
         self.document = context.document
 
     def configure(self, document: schema.Document) -> None:
-        """Takes a newer document; what was learned is kept."""
+        """Applies a newer document; the policy keeps its state."""
         self.document = document
 
 
 class Room(abc.ABC):
-    """Where a queued job could run right now."""
+    """The slots on which a queued job could run now."""
 
     @abc.abstractmethod
     def candidates(
@@ -55,16 +55,16 @@
         """Returns endpoints with a slot that the job may take."""
 
     def services(self) -> collections_abc.Iterable[ids.ServiceId] | None:
-        """Returns the services where something changed; None is all."""
+        """Returns the services with changes; None means all services."""
         return None
 
     def capacity(self, service: ids.ServiceId) -> capacity_module.Capacity:
-        """Returns this instance's slots of a service and who holds them."""
+        """Returns this instance's slots of a service and their use."""
         raise NotImplementedError
 
 
 class Queue(Policy):
-    """Whom to serve next."""
+    """Selects the job to serve next."""
 
     @abc.abstractmethod
     def push(self, job: messages.Job, now_s: float) -> None:
@@ -72,11 +72,11 @@
 
     @abc.abstractmethod
     def remove(self, request_id: ids.RequestId) -> messages.Job | None:
-        """Takes a job out without serving it."""
+        """Removes a job without serving it."""
 
     @abc.abstractmethod
-    def take(self, room: Room, now_s: float) -> messages.Job | None:
-        """Takes out the next job for which there is room, or None."""
+    def take(self, free_slots: Room, now_s: float) -> messages.Job | None:
+        """Removes and returns the next job that has a free slot, or None."""
 
     @abc.abstractmethod
     def jobs(self) -> collections_abc.Iterable[messages.Job]:
@@ -84,7 +84,7 @@
 
     @abc.abstractmethod
     def jobs_ahead(self, job: messages.Job) -> int:
-        """Counts queued jobs of its service to be served before it."""
+        """Counts queued jobs of the same service served before a job."""
 
     @abc.abstractmethod
     def __len__(self) -> int:
@@ -93,7 +93,7 @@
     def work_ahead_s(
         self, job: messages.Job, capacity: capacity_module.Capacity
     ) -> float:
-        """Returns the slot-seconds of the queued jobs before it."""
+        """Returns the slot-seconds of the queued jobs before a job."""
         return self.jobs_ahead(job) * capacity.mean_hold_s()
 
     def tier_waiting(self, job: messages.Job) -> int:
@@ -107,59 +107,58 @@
     def waiting_ranks(
         self, service: ids.ServiceId
     ) -> collections_abc.Iterable[int]:
-        """Returns the ranks with queued jobs, where tiers are told apart."""
+        """Returns the ranks with queued jobs, if the queue has tiers."""
         return ()
 
     def leaders(
         self, service: ids.ServiceId
     ) -> collections_abc.Iterable[messages.Job]:
-        """Returns some jobs of the highest waiting tier, the next first.
+        """Returns the first jobs of the highest waiting tier, in order.
 
-        A queue that does not tell tiers apart returns none: nothing is
-        preempted for its jobs.
+        A queue without tiers returns none: nothing is preempted for its jobs.
         """
         return ()
 
     def evict(self, job: messages.Job) -> messages.Job | None:
-        """Takes out the job of a lower tier that should make room for it."""
+        """Removes and returns a job of a lower tier to make space for a job."""
         return None
 
     def settle(self, job: messages.Job, tokens: int) -> None:
-        """Learns the true length of a served job."""
+        """Accounts for the actual length of a served job."""
 
 
 class Admission(Policy):
-    """Who waits and who is refused."""
+    """Decides whether a job may wait or is refused."""
 
     @abc.abstractmethod
     def refuse(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> str | None:
-        """Returns why an arriving job is refused, or None to let it wait."""
+        """Returns why an arriving job is refused, or None if it may wait."""
 
     def give_up(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> str | None:
-        """Returns why a waiting job is given up, or None to let it wait."""
+        """Returns why a waiting job is given up, or None if it may wait."""
         return "deadline passed" if now_s >= job.deadline_s else None
 
     def look_s(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> float:
-        """Returns when `give_up` has to be asked about it next."""
+        """Returns when `give_up` has to be called next for a job."""
         return job.deadline_s
 
     def waiting_bound(self) -> int:
-        """Returns the most requests that may wait in one instance."""
+        """Returns the maximum number of requests waiting in an instance."""
         return UNBOUNDED
 
 
 class Limits(Policy):
-    """How many requests an endpoint takes at once."""
+    """Limits the concurrent requests of an endpoint."""
 
     @abc.abstractmethod
     def limit(self, state: endpoint_module.EndpointState, now_s: float) -> int:
-        """Returns the limit for all instances together."""
+        """Returns the limit over all instances."""
 
     def on_first_token(
         self,
@@ -167,7 +166,7 @@
         running: messages.Running,
         now_s: float,
     ) -> None:
-        """Learns from a first token."""
+        """Handles the first token of a request."""
 
     def on_finish(
         self,
@@ -176,15 +175,15 @@
         outcome: messages.Outcome,
         now_s: float,
     ) -> None:
-        """Learns from an end."""
+        """Handles the end of a request."""
 
 
 class Choice(Policy):
-    """Where a job is sent.
+    """Selects the endpoint of a job.
 
     Attributes:
-        displaces: Whether an endpoint whose places are taken may be handed a
-            more urgent job, because it puts back a less urgent one by itself.
+        displaces: Whether a full endpoint may be sent a more urgent job,
+            because its engine preempts a less urgent one by itself.
     """
 
     displaces = False
@@ -195,10 +194,10 @@
         states: list[endpoint_module.EndpointState],
         now_s: float,
     ) -> None:
-        """Takes all endpoints of a job's service, before `available`."""
+        """Prepares for `available` calls on the endpoints of a service."""
 
     def patience_s(self, job: messages.Job) -> float | None:
-        """Returns after which wait `available` judges a job otherwise."""
+        """Returns the wait after which `available` may change, or None."""
         return None
 
     def available(
@@ -207,7 +206,7 @@
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> bool:
-        """Tells whether an endpoint with a free slot may get the job."""
+        """Returns whether an endpoint with a free slot may get the job."""
         return True
 
     @abc.abstractmethod
@@ -217,7 +216,7 @@
         candidates: list[endpoint_module.EndpointState],
         now_s: float,
     ) -> tuple[endpoint_module.EndpointState, str]:
-        """Returns one of the candidates (at least one) and why."""
+        """Returns one of the candidates (never empty) and the reason."""
 
     def placed_elsewhere(
         self,
@@ -225,7 +224,7 @@
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> None:
-        """Learns that another instance decided where a job goes."""
+        """Records that another instance placed a job on an endpoint."""
 
     def fetch(
         self,
@@ -233,17 +232,17 @@
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> messages.Fetch | None:
-        """Returns where the chosen endpoint gets the prompt's beginning."""
+        """Returns where the endpoint fetches the prompt's prefix from."""
         return None
 
     def take_news(self, now_s: float) -> list[messages.KeptNews]:
-        """Returns what the other instances should know of engines' caches."""
+        """Returns changes in the engines' caches for other instances."""
         return []
 
     def hear(
         self, news: collections_abc.Iterable[messages.KeptNews], now_s: float
     ) -> None:
-        """Takes what other instances know of engines' caches."""
+        """Applies changes in engines' caches from other instances."""
 
     def on_first_token(
         self,
@@ -251,7 +250,7 @@
         running: messages.Running,
         now_s: float,
     ) -> None:
-        """Learns from a first token."""
+        """Handles the first token of a request."""
 
     def on_finish(
         self,
@@ -260,11 +259,11 @@
         outcome: messages.Outcome,
         now_s: float,
     ) -> None:
-        """Learns from an end."""
+        """Handles the end of a request."""
 
 
 class Shares(Policy):
-    """How the instances of a domain split an endpoint's slots."""
+    """Splits an endpoint's slots among the instances of a domain."""
 
     @abc.abstractmethod
     def share(
@@ -279,7 +278,7 @@
 
 
 class Retry(Policy):
-    """When a failed request is run again, and when a caller comes back."""
+    """Decides on retries, and when refused callers should come back."""
 
     @abc.abstractmethod
     def may_retry(
@@ -288,29 +287,29 @@
         outcome: messages.Outcome,
         now_s: float,
     ) -> bool:
-        """Tells whether a request that failed undelivered is queued again."""
+        """Returns whether a request that failed undelivered is retried."""
 
     @abc.abstractmethod
     def retry_after_s(self, backlog: messages.Backlog) -> float:
         """Returns when a refused caller should come back."""
 
     def delay_s(self, job: messages.Job, outcome: messages.Outcome) -> float:
-        """Returns how long a job that may run again is held first."""
+        """Returns the delay before a retry."""
         return 0.0
 
     def on_finish(self, job: messages.Job, outcome: messages.Outcome) -> None:
-        """Learns from an end."""
+        """Handles the end of a request."""
 
     def may_redo(self, job: messages.Job, now_s: float) -> bool:
-        """Tells whether a run that is given up now could be run again."""
+        """Returns whether a run that is cancelled now could be retried."""
         return False
 
     def on_arrival(self, job: messages.Job, now_s: float) -> None:
-        """Learns that a request came."""
+        """Handles the arrival of a request."""
 
 
 class Quarantine(Policy):
-    """Which requests are kept from endpoints because they crash them."""
+    """Blocks requests that crash endpoints."""
 
     @abc.abstractmethod
     def refuse(self, job: messages.Job, now_s: float) -> str | None:
@@ -323,33 +322,32 @@
         suspects: list[messages.Job],
         now_s: float,
     ) -> None:
-        """Learns that an endpoint died while these jobs ran on it."""
+        """Handles the crash of an endpoint that ran these jobs."""
 
     def solo(self, job: messages.Job, now_s: float) -> bool:
-        """Tells whether a job may only run alone on an endpoint."""
+        """Returns whether a job may only run alone on an endpoint."""
         return False
 
     def on_finish(
         self, job: messages.Job, outcome: messages.Outcome, now_s: float
     ) -> None:
-        """Learns from an end."""
+        """Handles the end of a request."""
 
     def marks(self, now_s: float) -> dict[ids.Fingerprint, float]:
-        """Returns quarantined fingerprints and seconds left, for gossip."""
+        """Returns quarantined fingerprints and their remaining seconds."""
         return {}
 
     def merge(self, marks: dict[ids.Fingerprint, float], now_s: float) -> None:
-        """Takes fingerprints that another instance quarantined."""
+        """Adds fingerprints that another instance quarantined."""
 
 
 class Spill(Policy):
-    """When a job may leave its failure domain.
+    """Decides whether a job may leave its failure domain.
 
     Attributes:
-        joins_domains: Whether endpoints of other domains are weighed beside
-            those of the own one, by what they cost, and not only where the
-            own domain has no room.
-        crosses_domains: Whether a job may leave the own domain at all.
+        joins_domains: Whether endpoints of other domains compete with local
+            ones by cost, and not only when the local domain has no free slot.
+        crosses_domains: Whether a job may leave its domain at all.
     """
 
     joins_domains = False
@@ -363,7 +361,7 @@
         local: messages.Backlog,
         now_s: float,
     ) -> bool:
-        """Tells whether the job may go to an endpoint of another domain."""
+        """Returns whether a job may go to an endpoint of another domain."""
 
     def on_place(
         self,
@@ -371,14 +369,14 @@
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> None:
-        """Learns that a job went to another domain."""
+        """Records that a job was placed in another domain."""
 
 
 class PreemptionPolicy(Policy):
-    """Which running request gives way to a waiting one."""
+    """Selects a running request to preempt for a waiting one."""
 
     def danger_s(self, job: messages.Job) -> float | None:
-        """Returns when a job that still waits may need a victim, or None."""
+        """Returns when a waiting job may need a preemption, or None."""
         return None
 
     @abc.abstractmethod
@@ -391,7 +389,7 @@
         """Returns the request to cancel for `job`, or None.
 
         Args:
-            job: A waiting job for which there is no room.
+            job: A waiting job without a free slot.
             states: The endpoints of its service and domain.
             now_s: The time.
         """
@@ -399,11 +397,11 @@
     def on_finish(
         self, running: messages.Running, outcome: messages.Outcome
     ) -> None:
-        """Learns from an end."""
+        """Handles the end of a request."""
 
 
 class Estimate(Policy):
-    """How long an answer will be."""
+    """Estimates the length of answers."""
 
     @abc.abstractmethod
     def expected_tokens(self, job: messages.Job) -> float:
@@ -411,4 +409,4 @@
 
     @abc.abstractmethod
     def learn(self, job: messages.Job, tokens: int) -> None:
-        """Learns the length of a finished answer."""
+        """Updates the estimate with the length of a finished answer."""
--- a/cardamombarrow/decisions/context.py
+++ b/cardamombarrow/decisions/context.py
@@ -1,4 +1,4 @@
-"""What every policy is built from."""
+"""The configuration and shared state passed to every policy."""
 
 import dataclasses
 import random
@@ -13,12 +13,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class RetryBounds:
-    """What all instances together may send again to one service.
+    """Bounds on the retries of all instances together to one service.
 
     Attributes:
-        share: Part of the requests of a window that may be sent again.
-        slack: Requests of a window that may be sent again besides.
-        window_s: Any span of this length counts.
+        share: Retries allowed in a window, as a share of its requests.
+        slack: Retries allowed in a window in addition.
+        window_s: Length of the sliding window, in seconds.
     """
 
     share: float = 0.1
@@ -28,17 +28,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class PolicyContext:
-    """What a policy is built from.
+    """The configuration and shared state passed to every policy.
 
     Attributes:
-        rng: The only source of randomness, so that a run can be repeated.
+        rng: The only source of randomness, so that runs are reproducible.
         retries: Bounds on retries, over all instances.
-        fleet: How many instances share what is bounded over all; one for all
-            policies of an instance.
-        rate_limits: What endpoints state of the rate that they take; one for
-            all dispatchers of an instance.
+        fleet: This instance's part of bounds over all instances; shared by
+            all policies of an instance.
+        rate_limits: The rate limits that endpoints state; shared by all
+            dispatchers of an instance.
         whole_domain: Whether the decisions are made for all instances of the
-            domain, and not only for one that shares it with others.
+            domain, and not only for one of several that share it.
     """
 
     document: schema.Document
--- a/cardamombarrow/decisions/messages.py
+++ b/cardamombarrow/decisions/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages into and out of the decisions."""
+"""Input and output messages of the scheduling decisions."""
 
 import dataclasses
 import enum
@@ -52,7 +52,7 @@
 
     Attributes:
         part: Its id; equal parts have equal ids.
-        tokens: Its length.
+        tokens: Its length in tokens.
     """
 
     part: str
@@ -65,26 +65,27 @@
 
     Attributes:
         rank: Rank of its tier; 0 is served first.
-        arrived_s: When the entry had read it.
-        target_first_token_s: The promise, from arrival.
-        deadline_s: Moment after which an answer is of no use.
-        prompt_tokens: Estimated from the body's size.
-        max_tokens: Upper limit set by the caller; 0 is none.
-        expected_tokens: The estimate that the queue and choice work with.
-        prefix_key: Digest of the prompt's beginning, for cache affinity.
-        parts: The prompt's parts in order, where they are told; the last one
-            belongs to the request or its session.
-        unread_tokens: Prompt tokens that its endpoint is expected to read,
-            because they are not in its cache; set when it is placed.
+        arrived_s: When the entry had read the request.
+        target_first_token_s: Target time to the first token, from arrival.
+        deadline_s: Time after which an answer is of no use.
+        prompt_tokens: Prompt length, estimated from the size of the body.
+        max_tokens: Upper limit set by the caller; 0 means none.
+        expected_tokens: Estimated length of the answer.
+        prefix_key: Digest of the prompt's prefix, for cache affinity.
+        parts: The parts of the prompt in order, if they are known; the last
+            one belongs to the request or its session.
+        unread_tokens: Prompt tokens that are not in the endpoint's cache and
+            that it is expected to read; set when the job is placed.
         fingerprint: Digest of model and body, for the quarantine.
-        repeatable: False where the request may run at most once.
-        attempts: How often it has been placed so far.
-        tried: Endpoints that failed it.
+        repeatable: False if the request may run at most once.
+        attempts: How often the job has been placed so far.
+        tried: Endpoints on which it failed.
         may_have_run: Whether an earlier attempt may have run.
-        runs: Attempts that may have run.
-        max_runs: Most endpoints that may run it; 0 leaves it to the policy.
-        streams: Whether tokens come one by one; otherwise the first byte of
-            the answer comes with its last.
+        runs: Number of attempts that may have run.
+        max_runs: Maximum number of endpoints that may run it; 0 leaves it to
+            the policy.
+        streams: Whether tokens arrive one by one; otherwise the first byte
+            of the answer arrives with its last.
     """
 
     request_id: ids.RequestId
@@ -118,9 +119,9 @@
     """A job on an endpoint.
 
     Attributes:
-        first_token_s: When its first token came, or None.
+        first_token_s: When its first token arrived, or None.
         tokens: Tokens relayed so far.
-        preempted: Whether it was told to give way and has not ended yet.
+        preempted: Whether it has been preempted and has not ended yet.
     """
 
     job: Job
@@ -133,11 +134,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint said of itself, some time ago.
+    """An endpoint's report of its own load.
 
     Attributes:
-        measured_at_s: When it was read, on this instance's clock. What
-            happened since is not in it.
+        measured_at_s: When it was read, on this instance's clock; later
+            changes of the load are not included.
     """
 
     running: int
@@ -149,12 +150,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What an answer said of the request rate that its endpoint takes.
+    """The rate limit that an endpoint stated in an answer.
 
     Attributes:
-        per_s: Requests a second from all instances together; None where the
+        per_s: Requests per second from all instances together; None if the
             endpoint states no limit.
-        heard_s: When the answer came, on this instance's clock.
+        heard_s: When the answer arrived, on this instance's clock.
     """
 
     per_s: float | None
@@ -166,7 +167,7 @@
     """An endpoint that discovery has found.
 
     Attributes:
-        slots: Most requests it runs at once; 0 leaves it to the document.
+        slots: Maximum concurrent requests; 0 leaves it to the document.
     """
 
     endpoint: ids.EndpointId
@@ -177,12 +178,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerDemand:
-    """What another instance of the domain asks for, from gossip.
+    """The demand of another instance of the domain, from gossip.
 
     Attributes:
         demand_tokens_per_s: Arriving work by service.
-        in_flight: Requests it has on each endpoint.
-        seen_at_s: When it was heard, on this instance's clock.
+        in_flight: Requests of that instance by endpoint.
+        seen_at_s: When it was received, on this instance's clock.
     """
 
     instance: ids.InstanceId
@@ -193,13 +194,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OthersLoad:
-    """What another instance that decides for a domain has on an endpoint.
+    """The requests of another deciding instance on an endpoint.
 
     Attributes:
         ranks: The rank of each request.
-        unread: Those of them that have had no first event.
-        unread_tokens: Prompt tokens that these are expected to have read.
-        seen_at_s: When it was heard, on this instance's clock.
+        unread: Number of these requests without a first event.
+        unread_tokens: Prompt tokens that the endpoint is expected to read for
+            the requests without a first event.
+        seen_at_s: When it was received, on this instance's clock.
     """
 
     ranks: tuple[int, ...]
@@ -210,20 +212,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backlog:
-    """What stands before one job.
+    """The work ahead of one job.
 
     Attributes:
         jobs_ahead: Queued jobs that would be served before it.
-        slots: Slots that its service's endpoints give this instance.
-        service_s: Mean time one job holds a slot.
+        slots: This instance's slots on the endpoints of its service.
+        service_s: Mean time that a job holds a slot.
         predicted_wait_s: Expected time in the queue.
         first_token_s: Mean time from placement to the first token.
-        tier_waiting: Queued jobs of its tier, itself not counted.
-        oldest_wait_s: How long the oldest job of its tier has waited.
-        returning_s: Time to serve those of its tier that were refused and
-            told to come back, less those that had time to be served since.
-        limit_wait_s: Part of the predicted wait for which rate limits that
-            all endpoints state hold it up; infinity where none is spent here.
+        tier_waiting: Other queued jobs of its tier.
+        oldest_wait_s: Wait of the oldest job of its tier.
+        returning_s: Time to serve the refused jobs of its tier that are
+            expected to come back, less those that could be served since.
+        limit_wait_s: Part of the predicted wait that is due to rate limits
+            of all endpoints; infinite if another instance spends them all.
         lower_over_reserve: Whether a lower tier runs more than its reserved
             share of these slots.
     """
@@ -242,11 +244,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeptNews:
-    """Parts of prompts that an engine has read, told to other instances.
+    """Prompt parts that an engine has cached, sent to other instances.
 
     Attributes:
         parts: Their keys; see `kept.part_key`.
-        age_s: Greatest time since one of them was read or used.
+        age_s: Longest time since one of them was read or used.
     """
 
     endpoint: ids.EndpointId
@@ -256,13 +258,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fetch:
-    """Have the engine fetch a prompt's beginning from another one.
+    """Instructs an engine to fetch a prompt's prefix from another engine.
 
     Attributes:
-        source: The engine that should keep it.
-        tokens: How many it should keep beyond the engine's own; 0 where the
-            source is only where others would have sent it first.
-        age_s: How long ago the source was known to use it; None if never.
+        source: The engine that is expected to have the prefix cached.
+        tokens: Tokens expected in its cache beyond those of the fetching
+            engine; 0 if the source is only the endpoint to which other
+            instances would have sent the prompt first.
+        age_s: Time since the source was known to use it; None if never.
     """
 
     source: ids.EndpointId
@@ -275,13 +278,13 @@
     """Send this request to this endpoint now.
 
     Attributes:
-        candidates: Endpoints that were weighed.
-        reason: Why this one, for the log.
+        candidates: Endpoints that were compared.
+        reason: Why this endpoint was chosen, for the log.
         report_age_s: Age of the endpoint's load report; None without one.
-        fetch: Where the endpoint gets the prompt's beginning from; None where
-            it reads what it does not keep.
+        fetch: Where the endpoint fetches the prompt's prefix from; None if it
+            reads all that is not in its cache.
         limit_per_s: Rate limit that the endpoint states; None without one.
-        limit_age_s: How long ago an answer said so; None without one.
+        limit_age_s: Time since an answer stated it; None without one.
     """
 
     request_id: ids.RequestId
@@ -307,11 +310,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preemption:
-    """Cancel this running request to make room.
+    """Cancel this running request to free its slot.
 
     Attributes:
-        requeue: Whether it waits for another run; otherwise it is answered
-            with `ErrorKind.PREEMPTED`.
+        requeue: Whether it is queued again; otherwise it is answered with
+            `ErrorKind.PREEMPTED`.
     """
 
     request_id: ids.RequestId
