--- a/cardamombarrow/decisions/core.py
+++ b/cardamombarrow/decisions/core.py
@@ -1,12 +1,12 @@
-"""The dispatcher: puts the policies together, in pure code.
+"""The dispatcher: combines the policies, without I/O.
 
-An arriving job goes quarantine -> admission -> queue; `place` then takes jobs
-out in the queue's order while there is room, and picks an endpoint for each.
+An arriving job passes quarantine -> admission -> queue; `place` then removes
+jobs in the queue's order while slots are free, and picks an endpoint for each.
 The entry wraps one dispatcher in a lock; benchmarks drive it in virtual time.
 
-What a decision needs is kept up to date by each event (`capacity`, the heap of
-times at which a waiting job must be looked at, the services where something
-changed), so that no event costs a pass over all that waits or runs.
+The inputs of the decisions are updated incrementally by each event
+(`capacity`, the heap of times at which a waiting job must be checked, the
+services with changes), so that no event iterates over all jobs.
 """
 
 import math
@@ -23,35 +23,35 @@
 
 __all__ = ["Dispatcher"]
 
-RETRY_S = 1.0
-"""When a caller comes back who is refused for something other than load."""
+DEFAULT_RETRY_AFTER_S = 1.0
+"""Retry-after of refusals that are not due to load."""
 
-LOOK_MIN_S = 0.05
-"""Least time between two looks at one waiting job."""
+MIN_CHECK_INTERVAL_S = 0.05
+"""Minimum time between two checks of a waiting job."""
 
 
 class Dispatcher(runs.Runs):
     """All decisions of one instance.
 
     Attributes:
-        preemptions: Requests that were told to give way.
+        preemptions: Number of preempted requests.
     """
 
     def __init__(self, context: context_module.PolicyContext, now_s: float):
         super().__init__(context, now_s)
         self._forecast = forecast.Forecast(self._policies)
-        self._asked: dict[ids.RequestId, messages.Job] = {}
-        self._due: list[messages.Refusal] = []
+        self._awaiting_remote: dict[ids.RequestId, messages.Job] = {}
+        self._pending_refusals: list[messages.Refusal] = []
         self.preemptions = 0
 
     def waiting_jobs(self) -> list[messages.Job]:
-        """Returns the jobs that wait for a place."""
+        """Returns the queued jobs."""
         return list(self._policies.queue.jobs())
 
-    # -- a job's life --------------------------------------------------------
+    # -- arrival --------------------------------------------------------------
 
     def offer(self, job: messages.Job, now_s: float) -> messages.Refusal | None:
-        """Takes an arriving job into the queue, or refuses it at once."""
+        """Queues an arriving job, or refuses it at once."""
         refusal = self._receive(job, now_s)
         if refusal is None:
             backlog = self.backlog(job, now_s)
@@ -64,7 +64,7 @@
     def _receive(
         self, job: messages.Job, now_s: float
     ) -> messages.Refusal | None:
-        """Takes note of an arriving job; refuses what may not run at all."""
+        """Records an arriving job; refuses one that must not run at all."""
         job.expected_tokens = self._policies.estimate.expected_tokens(job)
         self._policies.retry.on_arrival(job, now_s)
         capacity = self._roster.capacities.get(job.service)
@@ -73,20 +73,20 @@
                 job.request_id,
                 errors.ErrorKind.NO_ENDPOINT,
                 f"no endpoint serves {job.service}",
-                RETRY_S,
+                DEFAULT_RETRY_AFTER_S,
             )
         reason = self._policies.quarantine.refuse(job, now_s)
         if reason is not None:
             return messages.Refusal(
                 job.request_id, errors.ErrorKind.QUARANTINED, reason, None
             )
-        return self._over_workspace_limit(job)
+        return self._check_workspace_limit(job)
 
-    def _over_workspace_limit(
+    def _check_workspace_limit(
         self, job: messages.Job
     ) -> messages.Refusal | None:
         if self._context.whole_domain:
-            # The bound is one instance's, which has looked at it already.
+            # The limit is per instance; the sending one has checked it.
             return None
         workspace = self._context.document.workspaces.get(job.workspace)
         most = workspace.max_in_flight if workspace else 0
@@ -95,14 +95,15 @@
         return messages.Refusal(
             job.request_id,
             errors.ErrorKind.WORKSPACE_LIMIT,
-            f"workspace {job.workspace} holds its {most} requests already",
-            RETRY_S,
+            f"workspace {job.workspace} is at its limit of "
+            f"{most} concurrent requests",
+            DEFAULT_RETRY_AFTER_S,
         )
 
     def _refuse(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> messages.Refusal | None:
-        reason = _limited(job, backlog)
+        reason = _rate_limit_reason(job, backlog)
         if reason is None:
             reason = self._policies.admission.refuse(job, backlog, now_s)
         bound = self._policies.admission.waiting_bound()
@@ -115,22 +116,22 @@
         )
 
     def _make_room(self, job: messages.Job, now_s: float) -> str | None:
-        """Gives up a waiting job of a lower tier, or tells that none waits.
+        """Evicts a waiting job of a lower tier, or returns why it cannot.
 
         Each waiting request holds a thread of the entry. Without the bound a
-        burst would take them all, and a higher tier's request would not even
-        be read; without the exchange the bound itself would refuse it in
-        favour of a lower tier.
+        burst would take all threads, and a request of a higher tier would not
+        even be read; without the eviction the bound itself would refuse that
+        request in favour of a lower tier.
         """
         evicted = self._policies.queue.evict(job)
         if evicted is None:
-            return f"{len(self._waiting)} requests wait already"
+            return f"{len(self._waiting)} requests are already waiting"
         self._waiting.leave(evicted)
-        self._due.append(
+        self._pending_refusals.append(
             self._refusal(
                 evicted,
                 errors.ErrorKind.OVERLOADED,
-                f"gave its place in the queue to tier rank {job.rank}",
+                f"evicted from the queue by a request of tier rank {job.rank}",
                 self.backlog(evicted, now_s),
                 now_s,
             )
@@ -152,27 +153,27 @@
         if patience_s is not None:
             self._waiting.alarm(job, now_s + patience_s)
 
-    # -- decisions made elsewhere ---------------------------------------------
+    # -- placement by another instance ----------------------------------------
 
     def may_ask(self, job: messages.Job, now_s: float) -> bool:
-        """Tells whether another instance may decide where a job goes.
+        """Returns whether another instance may place a job.
 
-        A call that does not stream is decided here, unless an endpoint that
-        could take it states a rate limit. One that may have crashed an
-        endpoint has to run alone there, and only this instance knows of it.
+        A call that does not stream is placed locally, unless an endpoint that
+        could take it states a rate limit. So is a job that may have crashed an
+        endpoint: it has to run alone, and only this instance records that.
         """
         reachable = self._roster.reachable(job.service)
-        together = job.streams or self._roster.rate_budget.has_limit(reachable)
-        return together and not self._policies.quarantine.solo(job, now_s)
+        is_remote = job.streams or self._roster.rate_budget.has_limit(reachable)
+        return is_remote and not self._policies.quarantine.solo(job, now_s)
 
     def announce(
         self, job: messages.Job, now_s: float
     ) -> messages.Refusal | None:
-        """Takes note of an arriving job that another instance decides on."""
+        """Records an arriving job that another instance will place."""
         refusal = self._receive(job, now_s)
         if refusal is None:
             self._waiting.enter(job)
-            self._asked[job.request_id] = job
+            self._awaiting_remote[job.request_id] = job
         return refusal
 
     def adopt(
@@ -181,38 +182,40 @@
         placed: messages.Placement,
         now_s: float,
     ) -> bool:
-        """Carries out another instance's decision on an announced job.
+        """Applies another instance's placement of a job.
 
         Returns:
-            False where its endpoint takes no work by what is known here; the
-            job stays announced.
+            False if the endpoint takes no work as far as this instance knows;
+            the job goes on awaiting a placement.
         """
         state = self._roster.endpoints.get(placed.endpoint)
         if state is None or state.leaving:
             return False
-        job = self._asked.pop(request_id)
+        job = self._awaiting_remote.pop(request_id)
         self._policies.choice.placed_elsewhere(job, state, now_s)
         self._run(job, state, now_s)
         return True
 
     def decide_here(self, request_id: ids.RequestId, now_s: float) -> bool:
-        """Takes an announced job into the own queue after all."""
-        job = self._asked.pop(request_id, None)
+        """Queues or refuses a job locally that awaited a remote placement."""
+        job = self._awaiting_remote.pop(request_id, None)
         if job is None:
             return False
         backlog = self.backlog(job, now_s)
-        reason = _limited(job, backlog)
+        reason = _rate_limit_reason(job, backlog)
         if reason is None:
             self._enqueue(job, backlog, now_s)
             return True
         self._waiting.leave(job)
         kind = errors.ErrorKind.OVERLOADED
-        self._due.append(self._refusal(job, kind, reason, backlog, now_s))
+        self._pending_refusals.append(
+            self._refusal(job, kind, reason, backlog, now_s)
+        )
         return True
 
     def refused_elsewhere(self, request_id: ids.RequestId) -> bool:
-        """Drops an announced job that another instance refused."""
-        job = self._asked.pop(request_id, None)
+        """Removes a job that awaits a remote placement."""
+        job = self._awaiting_remote.pop(request_id, None)
         if job is None:
             return False
         self._waiting.leave(job)
@@ -221,7 +224,7 @@
     # -- waiting and placing --------------------------------------------------
 
     def withdraw(self, request_id: ids.RequestId) -> bool:
-        """Takes a waiting job out, because its caller left."""
+        """Removes a waiting job whose caller has disconnected."""
         if self.refused_elsewhere(request_id):
             return True
         job = self._policies.queue.remove(request_id)
@@ -233,10 +236,10 @@
         return True
 
     def next_s(self) -> float | None:
-        """Returns when `place` has to be called though nothing happens.
+        """Returns when `place` has to be called without another event.
 
         Returns:
-            The moment, or None while nothing waits.
+            The time, or None while nothing waits.
         """
         times = [self._waiting.next_s()]
         if len(self._waiting):
@@ -251,17 +254,17 @@
         for job in self._waiting.due_alarms(now_s):
             self._roster.changed.add(job.service)
         self._roster.changed.update(self._roster.rate_budget.due(now_s))
-        room = roster.Room(self._roster, self.backlog, now_s)
+        free_slots = roster.Room(self._roster, self.backlog, now_s)
         while True:
-            job = self._policies.queue.take(room, now_s)
+            job = self._policies.queue.take(free_slots, now_s)
             if job is None:
                 break
-            yield self._send(job, room.last(job), now_s)
+            yield self._place(job, free_slots.last(job), now_s)
         for service in sorted(self._roster.changed):
             yield from self._preempt(service, now_s)
         self._roster.changed.clear()
-        while self._due:
-            yield self._due.pop()
+        while self._pending_refusals:
+            yield self._pending_refusals.pop()
 
     def _give_up(self, now_s: float) -> typing.Iterator[messages.Refusal]:
         admission = self._policies.admission
@@ -269,10 +272,12 @@
             backlog = self.backlog(job, now_s)
             reason = admission.give_up(job, backlog, now_s)
             if reason is None and math.isinf(backlog.limit_wait_s):
-                reason = _limited(job, backlog)
+                reason = _rate_limit_reason(job, backlog)
             if reason is None:
                 look_s = admission.look_s(job, backlog, now_s)
-                self._waiting.look_at(job, max(look_s, now_s + LOOK_MIN_S))
+                self._waiting.look_at(
+                    job, max(look_s, now_s + MIN_CHECK_INTERVAL_S)
+                )
                 continue
             self._policies.queue.remove(job.request_id)
             self._waiting.leave(job)
@@ -295,10 +300,10 @@
     def _preempt(
         self, service: ids.ServiceId, now_s: float
     ) -> typing.Iterator[messages.Preemption]:
-        """Asks lower tiers' requests to give way to waiting ones in danger.
+        """Preempts requests of lower tiers for waiting ones that are late.
 
-        A request that was told to give way holds its slot until it has ended;
-        counting those keeps one waiting job from costing several runs.
+        A preempted request holds its slot until it has ended; counting these
+        prevents several preemptions for one waiting job.
         """
         capacity = self._roster.capacities[service]
         leaders = self._policies.queue.leaders(service)
@@ -318,10 +323,10 @@
                 endpoint=victim.endpoint,
                 wasted_tokens=victim.tokens,
                 requeue=victim.first_token_s is None,
-                reason=f"gives way to {job.request_id} of rank {job.rank}",
+                reason=f"preempted by {job.request_id} of rank {job.rank}",
             )
 
-    def _send(
+    def _place(
         self,
         job: messages.Job,
         candidates: list[endpoint_module.EndpointState],
@@ -355,18 +360,21 @@
         now_s: float,
         ask: bool = False,
     ) -> bool:
-        """Queues a failed job again, if that is allowed and of use.
+        """Queues a failed job again, if a retry is allowed and useful.
 
         Args:
             job: The job.
             outcome: How its last run ended.
             now_s: The time.
-            ask: Announce it for another instance's decision, in place of
-                queueing it, if it needs no delay; see `is_announced`.
+            ask: If the retry needs no delay, have another instance place the
+                job instead of queueing it; see `is_announced`.
         """
         if self._policies.quarantine.refuse(job, now_s) is not None:
             return False
-        if not ask and _limited(job, self.backlog(job, now_s)) is not None:
+        if (
+            not ask
+            and _rate_limit_reason(job, self.backlog(job, now_s)) is not None
+        ):
             return False
         if not self._policies.retry.may_retry(job, outcome, now_s):
             return False
@@ -375,17 +383,17 @@
         if delay_s > 0.0:
             self._waiting.hold_back(job, now_s + delay_s)
         elif ask:
-            self._asked[job.request_id] = job
+            self._awaiting_remote[job.request_id] = job
         else:
             self._enqueue(job, self.backlog(job, now_s), now_s)
         return True
 
     def is_announced(self, request_id: ids.RequestId) -> bool:
-        """Tells whether another instance decides on a job now."""
-        return request_id in self._asked
+        """Returns whether a job awaits a remote placement."""
+        return request_id in self._awaiting_remote
 
     def may_redo(self, job: messages.Job, now_s: float) -> bool:
-        """Tells whether a running job could be sent elsewhere now."""
+        """Returns whether a running job could be moved to another endpoint."""
         others = [
             state
             for state in self._roster.capacities[job.service].local
@@ -396,7 +404,7 @@
         return bool(others) and self._policies.retry.may_redo(job, now_s)
 
     def backlog(self, job: messages.Job, now_s: float) -> messages.Backlog:
-        """Returns what stands before a job in its own domain."""
+        """Returns the work ahead of a job in its own domain."""
         ahead = self._policies.queue.jobs_ahead(job)
         reachable = self._roster.reachable(job.service)
         limit_wait_s = self._roster.rate_budget.wait_s(reachable, ahead, now_s)
@@ -405,11 +413,13 @@
         )
 
 
-def _limited(job: messages.Job, backlog: messages.Backlog) -> str | None:
-    """Returns why rate limits let a job through too late, or None."""
+def _rate_limit_reason(
+    job: messages.Job, backlog: messages.Backlog
+) -> str | None:
+    """Returns the reason if rate limits delay a job too long, or None."""
     wait_s = backlog.limit_wait_s
     if wait_s <= job.target_first_token_s:
         return None
     if math.isinf(wait_s):
-        return "all endpoints state rate limits that another instance spends"
-    return f"rate limits of all endpoints let it through in {wait_s:.2f} s"
+        return "the rate limits of all endpoints are used by another instance"
+    return f"rate limits of all endpoints delay it by {wait_s:.2f} s"
--- a/cardamombarrow/decisions/roster.py
+++ b/cardamombarrow/decisions/roster.py
@@ -1,7 +1,7 @@
-"""What one instance knows of endpoints and of the other instances.
+"""One instance's view of the endpoints and of the other instances.
 
-Endpoints are kept sorted by service into near and far ones that take work, so
-that a decision looks only at its own service's.
+The endpoints that take work are grouped by service and by local or remote
+domain, so that a decision considers only those of its own service.
 """
 
 from collections import abc
@@ -20,10 +20,11 @@
 __all__ = ["Backlog", "Room", "Roster"]
 
 PEER_VIEW_MAX_AGE_S = 600.0
-"""A peer not heard for this long counts as not there.
+"""A peer without news for this long no longer counts.
 
-A peer that has left is dropped by `forget_peer`. One that is only cut off goes
-on using its slots: forgotten within seconds, all would take the whole limit.
+A peer that has left is dropped by `forget_peer`. A peer that is only cut off
+goes on using its slots: if it were dropped within seconds, all peers would
+use the whole limit.
 """
 
 Backlog = abc.Callable[[messages.Job, float], messages.Backlog]
@@ -35,8 +36,8 @@
     Attributes:
         endpoints: All known endpoints, also those that take no new work.
         capacities: This instance's slots by service.
-        changed: Services where something changed since they were looked at.
-        rate_budget: What endpoints take that state rate limits.
+        changed: Services with changes since their last check.
+        rate_budget: The rates that may be sent to endpoints with rate limits.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self._policies = policies
         self._peers: dict[ids.InstanceId, messages.PeerDemand] = {}
         self._unlisted: set[ids.EndpointId] = set()
-        self._found: tuple[messages.KnownEndpoint, ...] = ()
+        self._discovered: tuple[messages.KnownEndpoint, ...] = ()
         self.endpoints: dict[ids.EndpointId, endpoint_module.EndpointState] = {}
         self.capacities: dict[ids.ServiceId, capacity_module.Capacity] = {}
         self.changed: set[ids.ServiceId] = set()
@@ -57,24 +58,24 @@
         )
 
     def configure(self, document: schema.Document, now_s: float) -> None:
-        """Takes a newer document into force.
+        """Applies a newer document.
 
-        Endpoints that are no longer listed get no new work; what runs on them
-        goes on.
+        Endpoints that are no longer listed get no new work; requests running
+        on them continue.
         """
         self._context = dataclasses.replace(self._context, document=document)
-        self._relist(now_s)
+        self._update_endpoints(now_s)
 
     def set_found(
         self, found: tuple[messages.KnownEndpoint, ...], now_s: float
     ) -> None:
-        """Takes the endpoints that discovery knows, beside the document's."""
-        self._found = found
-        self._relist(now_s)
+        """Sets the endpoints from discovery, in addition to the document's."""
+        self._discovered = found
+        self._update_endpoints(now_s)
 
     def learn_from(self, other: "Roster", now_s: float) -> None:
-        """Takes the endpoints that another roster knows, and their loads."""
-        self.set_found(other._found, now_s)
+        """Copies the endpoints and loads of another view."""
+        self.set_found(other._discovered, now_s)
         for endpoint, state in other.endpoints.items():
             if state.leaving:
                 self.set_leaving(endpoint, True)
@@ -91,14 +92,14 @@
             for domain, endpoints in service.endpoints.items()
             for endpoint in endpoints
         }
-        for known in self._found:
+        for known in self._discovered:
             service = services.get(known.service)
             if service is not None:
                 slots = known.slots or service.slots_per_endpoint
                 listed[known.endpoint] = dataclasses.replace(known, slots=slots)
         return listed
 
-    def _relist(self, now_s: float) -> None:
+    def _update_endpoints(self, now_s: float) -> None:
         document = self._context.document
         listed = self._listed()
         for endpoint, known in listed.items():
@@ -133,31 +134,31 @@
         return capacity
 
     def _regroup(self, service: ids.ServiceId) -> None:
-        """Sorts a service's endpoints that take work into near and far."""
+        """Groups a service's endpoints that take work by domain."""
         open_states = [
             state
             for state in self.endpoints.values()
             if state.service == service and not state.leaving
         ]
         own = self._context.domain
-        joined = self._policies.spill.joins_domains
+        joins = self._policies.spill.joins_domains
         self.capacities[service].set_endpoints(
-            [state for state in open_states if joined or state.domain == own],
+            [state for state in open_states if joins or state.domain == own],
             [
                 state
                 for state in open_states
-                if not joined and state.domain != own
+                if not joins and state.domain != own
             ],
         )
         self.changed.add(service)
 
     def refresh_shares(self, own: messages.PeerDemand, now_s: float) -> None:
-        """Works out this instance's slots on every endpoint."""
+        """Recomputes this instance's slots on every endpoint."""
         oldest_s = now_s - PEER_VIEW_MAX_AGE_S
         peers = [p for p in self._peers.values() if p.seen_at_s >= oldest_s]
         for state in self.endpoints.values():
             share = self._share(state, own, peers, now_s)
-            share = min(share, self._connections(state.service, share))
+            share = min(share, self._max_connections(state.service, share))
             capacity = self.capacities[state.service]
             state.share = self.rate_budget.share(state, share, capacity)
         for capacity in self.capacities.values():
@@ -174,18 +175,18 @@
         limit = self._policies.limits.limit(state, now_s)
         if self._context.whole_domain:
             return limit
-        near = state.domain == self._context.domain
+        is_local = state.domain == self._context.domain
         return self._policies.shares.share(
-            state, limit, own, peers if near else [], now_s
+            state, limit, own, peers if is_local else [], now_s
         )
 
-    def _connections(self, service: ids.ServiceId, share: int) -> int:
+    def _max_connections(self, service: ids.ServiceId, share: int) -> int:
         """Returns how many connections this instance may have to an endpoint.
 
         Each request has a connection of its own. Above its bound an endpoint
-        resets connections, also those that have a request on them, and such a
-        request may have run. Slots are split within a domain only: in a burst
-        the instances of all domains together could open more than that.
+        resets connections, including those with a request, which may have
+        run. Slots are split within a domain only: in a burst the instances of
+        all domains together could exceed the bound.
         """
         known = self._context.document.services.get(service)
         if known is None or not known.max_connections:
@@ -207,7 +208,7 @@
         return capacity.local
 
     def rate_limit_changed(self, endpoint: ids.EndpointId) -> None:
-        """Has the service of an endpoint looked at again."""
+        """Marks the service of an endpoint as changed."""
         state = self.endpoints.get(endpoint)
         if state is not None:
             self.changed.add(state.service)
@@ -217,7 +218,7 @@
         endpoint: ids.EndpointId,
         report: messages.LoadReport,
     ) -> None:
-        """Takes an endpoint's load report."""
+        """Records an endpoint's load report."""
         state = self.endpoints.get(endpoint)
         if state is not None:
             state.report = report
@@ -229,7 +230,7 @@
         instance: ids.InstanceId,
         loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
     ) -> None:
-        """Takes what another deciding instance has on some endpoints."""
+        """Records the load of another deciding instance on endpoints."""
         for endpoint, load in loads.items():
             state = self.endpoints.get(endpoint)
             if state is None:
@@ -241,20 +242,20 @@
             self.changed.add(state.service)
 
     def forget_others(self, instance: ids.InstanceId) -> None:
-        """Drops what an instance had told that is heard of no longer."""
+        """Drops the load of an instance that no longer reports."""
         for state in self.endpoints.values():
             if state.others.pop(instance, None) is not None:
                 self.changed.add(state.service)
 
     def set_leaving(self, endpoint: ids.EndpointId, leaving: bool) -> None:
-        """Takes the platform's or a peer's word that an endpoint leaves."""
+        """Records whether the platform or a peer says an endpoint leaves."""
         state = self.endpoints.get(endpoint)
         if state is not None and state.leaving != leaving:
             state.leaving = leaving
             self._regroup(state.service)
 
     def peer(self, demand: messages.PeerDemand) -> None:
-        """Takes another instance's demand."""
+        """Records another instance's demand."""
         self._peers[demand.instance] = demand
 
     def forget_peer(self, instance: ids.InstanceId) -> None:
@@ -264,10 +265,10 @@
     def demand(
         self, jobs: abc.Mapping[ids.ServiceId, int], now_s: float
     ) -> messages.PeerDemand:
-        """Returns what this instance asks for, to be gossiped.
+        """Returns the demand of this instance, for gossip.
 
         Args:
-            jobs: Jobs that wait or run, by service.
+            jobs: Waiting and running jobs by service.
             now_s: The time.
         """
         in_flight = {
@@ -285,26 +286,32 @@
     ) -> list[endpoint_module.EndpointState]:
         """Returns the endpoints with a slot that a job may take now.
 
-        Endpoints of other domains are weighed only where no local one has a
-        slot that has not failed the job yet.
+        Endpoints of other domains are considered only if no local endpoint
+        that the job has not failed on has a slot.
         """
         capacity = self.capacities[job.service]
         solo = self._policies.quarantine.solo(job, now_s)
         self._policies.choice.consider(job, capacity.local, now_s)
-        near = [s for s in capacity.local if self._suits(job, s, solo, now_s)]
-        untried = [s for s in near if s.endpoint not in job.tried]
+        local = [
+            s for s in capacity.local if self._accepts(job, s, solo, now_s)
+        ]
+        untried = [s for s in local if s.endpoint not in job.tried]
         if untried or not capacity.remote:
-            return untried or near
-        local = backlog(job, now_s)
-        far = [
+            return untried or local
+        ahead = backlog(job, now_s)
+        remote = [
             state
             for state in capacity.remote
-            if self._suits(job, state, solo, now_s)
-            and self._policies.spill.allow(job, state, local, now_s)
+            if self._accepts(job, state, solo, now_s)
+            and self._policies.spill.allow(job, state, ahead, now_s)
         ]
-        return [s for s in far if s.endpoint not in job.tried] or near or far
+        return (
+            [s for s in remote if s.endpoint not in job.tried]
+            or local
+            or remote
+        )
 
-    def _suits(
+    def _accepts(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
@@ -312,7 +319,7 @@
         now_s: float,
     ) -> bool:
         running = state.running
-        if state.share <= self._held(job, state):
+        if state.share <= self._unavailable_slots(job, state):
             return False
         if not self._policies.choice.available(job, state, now_s):
             return False
@@ -325,14 +332,14 @@
         only = next(iter(running.values())).job
         return not self._policies.quarantine.solo(only, now_s)
 
-    def _held(
+    def _unavailable_slots(
         self, job: messages.Job, state: endpoint_module.EndpointState
     ) -> int:
-        """Returns the places of an endpoint that a job can't have.
+        """Returns the number of slots that a job can't take.
 
-        One instance of many knows too little to have another's request put
-        back. Where all are known, an urgent request need not wait until a
-        long answer has ended.
+        One instance of several does not know the requests of the others well
+        enough to have one of them preempted. If all requests are known, an
+        urgent one need not wait until a long answer has ended.
         """
         displaces = self._policies.choice.displaces and job.streams
         if self._context.whole_domain and displaces:
@@ -341,7 +348,7 @@
 
 
 class Room(base.Room):
-    """The dispatcher's free slots at one moment."""
+    """The dispatcher's free slots at one time."""
 
     def __init__(
         self,
@@ -352,23 +359,29 @@
         self._roster = endpoints
         self._backlog = backlog
         self._now_s = now_s
-        self._asked: messages.Job | None = None
-        self._answer: list[endpoint_module.EndpointState] = []
+        self._last_job: messages.Job | None = None
+        self._last_candidates: list[endpoint_module.EndpointState] = []
 
     def candidates(
         self, job: messages.Job
     ) -> list[endpoint_module.EndpointState]:
         """Returns the endpoints with a slot that the job may take."""
-        self._answer = self._roster.candidates(job, self._backlog, self._now_s)
-        self._asked = job
-        return self._answer
+        self._last_candidates = self._roster.candidates(
+            job, self._backlog, self._now_s
+        )
+        self._last_job = job
+        return self._last_candidates
 
     def last(self, job: messages.Job) -> list[endpoint_module.EndpointState]:
-        """Returns the candidates of a job that was just asked about."""
-        return self._answer if self._asked is job else self.candidates(job)
+        """Returns the candidates of a job, cached if it was the last one."""
+        return (
+            self._last_candidates
+            if self._last_job is job
+            else self.candidates(job)
+        )
 
     def services(self) -> list[ids.ServiceId]:
-        """Returns the services where something changed."""
+        """Returns the services with changes."""
         return list(self._roster.changed)
 
     def capacity(self, service: ids.ServiceId) -> capacity_module.Capacity:
--- a/cardamombarrow/decisions/runs.py
+++ b/cardamombarrow/decisions/runs.py
@@ -1,7 +1,7 @@
-"""What runs on endpoints by this instance's knowledge, and what its ends tell.
+"""The requests that run on endpoints, as far as this instance knows.
 
-Each run holds a slot from the moment it is placed until `Runs.finish`; every
-policy that learns from first tokens and ends is told here.
+Each run holds a slot from its placement until `Runs.finish`. First tokens and
+ends are passed on to the policies here.
 """
 
 from cardamombarrow.decisions import context as context_module
@@ -17,7 +17,7 @@
     """The requests on endpoints.
 
     Attributes:
-        wasted_tokens: Relayed tokens of runs that did not end whole.
+        wasted_tokens: Relayed tokens of runs that did not complete.
     """
 
     def __init__(self, context: context_module.PolicyContext, now_s: float):
@@ -52,10 +52,11 @@
         begun: bool,
         now_s: float,
     ) -> bool:
-        """Learns of a request that another instance has sent by itself.
+        """Records a request that another instance has placed.
 
         Returns:
-            False where the endpoint is not known.
+            False if the endpoint is unknown or the request is already
+            recorded.
         """
         state = self._roster.endpoints.get(endpoint)
         if state is None or job.request_id in self._running:
@@ -69,7 +70,7 @@
         return True
 
     def first_token(self, request_id: ids.RequestId, now_s: float) -> None:
-        """Learns that a placed job's first token came."""
+        """Records the first token of a running job."""
         running = self._running.get(request_id)
         if running is None or running.first_token_s is not None:
             return
@@ -82,7 +83,7 @@
         self._policies.choice.on_first_token(state, running, now_s)
 
     def progress(self, request_id: ids.RequestId, tokens: int) -> None:
-        """Learns how many tokens of a placed job were relayed so far."""
+        """Records how many tokens of a running job were relayed so far."""
         running = self._running.get(request_id)
         if running is not None:
             running.tokens = tokens
@@ -93,7 +94,7 @@
         outcome: messages.Outcome,
         now_s: float,
     ) -> int:
-        """Releases a placed job's slot and learns from its end.
+        """Releases the slot of a running job and notifies the policies.
 
         Returns:
             The tokens of the run.
@@ -129,5 +130,5 @@
         suspects: list[messages.Job],
         now_s: float,
     ) -> None:
-        """Learns that an endpoint died while these jobs ran on it."""
+        """Handles the crash of an endpoint that ran these jobs."""
         self._policies.quarantine.on_crash(endpoint, suspects, now_s)
--- a/cardamombarrow/decisions/waiting.py
+++ b/cardamombarrow/decisions/waiting.py
@@ -1,7 +1,7 @@
-"""Bookkeeping of the jobs that wait: counts, and times to look at them.
+"""Bookkeeping of waiting jobs: counts, and the times to check them.
 
-The time at which each waiting job must be looked at again stands in a heap;
-looking at all of them on each event would cost more than the decisions.
+The time of the next check of each waiting job is held in a heap; checking all
+jobs on each event would cost more than the decisions.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 
 class Waiting:
-    """The jobs of one instance that wait, and what each workspace holds.
+    """The waiting jobs of one instance, and the jobs of each workspace.
 
     Attributes:
         demand: Jobs that wait or run, by service.
@@ -31,10 +31,10 @@
             collections.Counter()
         )
         self._jobs: dict[ids.RequestId, messages.Job] = {}
-        self._looks: list[_Timed] = []
-        self._held_back: dict[ids.RequestId, messages.Job] = {}
-        self._ready: list[_Timed] = []
-        self._alarms: list[_Timed] = []
+        self._checks: list[_Timed] = []
+        self._delayed: dict[ids.RequestId, messages.Job] = {}
+        self._delay_ends: list[_Timed] = []
+        self._service_checks: list[_Timed] = []
         self._numbers = itertools.count()
 
     def __len__(self) -> int:
@@ -42,12 +42,12 @@
         return len(self._jobs)
 
     def enter(self, job: messages.Job) -> None:
-        """Counts a job that was let in."""
+        """Counts an admitted job."""
         self.in_flight[job.workspace] += 1
         self.demand[job.service] += 1
 
     def leave(self, job: messages.Job) -> None:
-        """Ends the count of a job that was answered, refused or withdrawn."""
+        """Uncounts a job that was answered, refused or withdrawn."""
         self._jobs.pop(job.request_id, None)
         self.demand[job.service] -= 1
         self.in_flight[job.workspace] -= 1
@@ -55,63 +55,63 @@
             del self.in_flight[job.workspace]
 
     def queued(self, job: messages.Job) -> None:
-        """Learns that a job stands in the queue."""
+        """Records that a job is queued."""
         self._jobs[job.request_id] = job
 
     def placed(self, job: messages.Job) -> None:
-        """Learns that a job has left the queue for an endpoint."""
+        """Records that a job has left the queue for an endpoint."""
         del self._jobs[job.request_id]
 
     def look_at(self, job: messages.Job, look_s: float) -> None:
-        """Sets when a waiting job is looked at next."""
-        heapq.heappush(self._looks, (look_s, next(self._numbers), job))
+        """Schedules the next check of a waiting job."""
+        heapq.heappush(self._checks, (look_s, next(self._numbers), job))
 
     def due_looks(self, now_s: float) -> abc.Iterator[messages.Job]:
-        """Yields the jobs that still wait and whose time has come."""
-        while self._looks and self._looks[0][0] <= now_s:
-            job = heapq.heappop(self._looks)[2]
-            if self._waits(job):
+        """Yields the jobs that still wait and whose check is due."""
+        while self._checks and self._checks[0][0] <= now_s:
+            job = heapq.heappop(self._checks)[2]
+            if self._is_queued(job):
                 yield job
 
     def hold_back(self, job: messages.Job, ready_s: float) -> None:
-        """Keeps a job out of the queue until a moment."""
-        self._held_back[job.request_id] = job
-        heapq.heappush(self._ready, (ready_s, next(self._numbers), job))
+        """Delays a job before it is queued."""
+        self._delayed[job.request_id] = job
+        heapq.heappush(self._delay_ends, (ready_s, next(self._numbers), job))
 
     def release(self, request_id: ids.RequestId) -> messages.Job | None:
-        """Takes out a job that is held back."""
-        return self._held_back.pop(request_id, None)
+        """Removes and returns a delayed job, or None."""
+        return self._delayed.pop(request_id, None)
 
     def due_back(self, now_s: float) -> abc.Iterator[messages.Job]:
-        """Yields the jobs that are held back no longer."""
-        while self._ready and self._ready[0][0] <= now_s:
-            job = heapq.heappop(self._ready)[2]
-            if self._held_back.pop(job.request_id, None) is not None:
+        """Yields the jobs whose delay has passed."""
+        while self._delay_ends and self._delay_ends[0][0] <= now_s:
+            job = heapq.heappop(self._delay_ends)[2]
+            if self._delayed.pop(job.request_id, None) is not None:
                 yield job
 
     def alarm(self, job: messages.Job, when_s: float) -> None:
-        """Sets when a job's service is looked at if it still waits."""
-        heapq.heappush(self._alarms, (when_s, next(self._numbers), job))
+        """Schedules a check of a job's service, in case it still waits."""
+        heapq.heappush(self._service_checks, (when_s, next(self._numbers), job))
 
     def due_alarms(self, now_s: float) -> abc.Iterator[messages.Job]:
-        """Yields the jobs that still wait at the time that was set."""
-        while self._alarms and self._alarms[0][0] <= now_s:
-            job = heapq.heappop(self._alarms)[2]
-            if self._waits(job):
+        """Yields the jobs that still wait and whose service check is due."""
+        while self._service_checks and self._service_checks[0][0] <= now_s:
+            job = heapq.heappop(self._service_checks)[2]
+            if self._is_queued(job):
                 yield job
 
     def next_s(self) -> float | None:
-        """Returns the next moment at which something is due, or None."""
+        """Returns the time of the next due event, or None."""
         times = []
-        for heap in (self._looks, self._alarms):
+        for heap in (self._checks, self._service_checks):
             # A job that has left needs no wake-up.
-            while heap and not self._waits(heap[0][2]):
+            while heap and not self._is_queued(heap[0][2]):
                 heapq.heappop(heap)
             if heap:
                 times.append(heap[0][0])
-        if self._ready:
-            times.append(self._ready[0][0])
+        if self._delay_ends:
+            times.append(self._delay_ends[0][0])
         return min(times, default=None)
 
-    def _waits(self, job: messages.Job) -> bool:
+    def _is_queued(self, job: messages.Job) -> bool:
         return self._jobs.get(job.request_id) is job
