--- a/cardamombarrow/decisions/admission.py
+++ b/cardamombarrow/decisions/admission.py
@@ -1,34 +1,33 @@
-"""Who waits and who is refused, at once.
+"""Admission control: which requests may wait and which are refused.
 
-Load pattern: demand above capacity for longer than a target lasts. Whoever
-is let in then waits until the target has passed; the endpoints work at full
-rate on answers that come too late for everybody, and callers give up and ask
-again. Refusing what cannot be served in time keeps the targets of those who
-are let in, and tells the others early enough to come back at a better time.
+Load pattern: demand above capacity for longer than the target time. Every
+admitted request then waits until its target has passed; the endpoints work at
+full rate on answers that come too late, and callers give up and retry.
+Refusing requests that cannot be served in time keeps the targets of the
+admitted ones, and lets the other callers come back at a better time.
 
 `PredictedWaitAdmission` refuses an arriving request when the predicted wait
-and the predicted time to the first token exceed its class's own target by
-`ARRIVAL_FACTOR`. A class with a long target may wait long. Since the wait is
-predicted from the work that is served before it, the lowest tier is refused
-first; and a tier is not refused while a lower one runs more than its reserved
-share, because those slots are about to be its own. One request of each tier
-may always wait: with the reserved share of a few slots the time between two
-of them can be above the target, and with nobody waiting the tier would leave
-them to others and complete nothing.
-
-`QueueAgeAdmission` is the other way that was weighed, after CoDel (Nichols
-and Jacobson, "Controlling Queue Delay", ACM Queue 2012): it needs no
-prediction, and refuses at a growing rate once the oldest request of a tier
-has waited above a part of its target for an interval.
-`docs/decisions/queue.md` has the figures of both.
-
-A job that waits is given up as soon as it can no longer meet its deadline,
-or when its first token is predicted far beyond its target; it is answered at
-that moment, never held back.
+plus the predicted time to the first token exceeds the target of its class
+times `ARRIVAL_FACTOR`. A class with a long target may wait long. Since the
+wait is predicted from the work that is served before it, the lowest tier is
+refused first. A tier is not refused while a lower one runs more than its
+reserved share, because those slots will soon be free for it. One request of
+each tier may always wait: with a reserved share of a few slots the time
+between two of them can exceed the target, and a tier without waiting requests
+would leave its slots to others and complete nothing.
+
+`QueueAgeAdmission` is an alternative after CoDel (Nichols and Jacobson,
+"Controlling Queue Delay", ACM Queue 2012): it needs no prediction, and refuses
+at a growing rate once the oldest request of a tier has waited above a part of
+its target for an interval. `docs/decisions/queue.md` compares both.
+
+A waiting job is given up as soon as it can no longer meet its deadline, or
+when its first token is predicted far beyond its target; it is answered
+immediately.
 
 `WAITING_BOUND` follows from the 512 connections that an entry serves at once by
-default (`[http] connections`): what waits and what runs leave some for
-everything else.
+default (`[http] connections`): waiting and running requests leave some for
+other uses.
 """
 
 import math
@@ -43,38 +42,38 @@
 
 ARRIVAL_FACTOR = 0.8
 """An arriving request is refused when its first token is predicted later
-than this many times its target."""
+than this multiple of its target."""
 
-LEAST_WAIT_SHARE = 0.2
-"""Part of its target that a request may always wait. With endpoints so slow
-that the first token alone takes the target, nobody would be let in otherwise,
-and nothing would ever be learned of endpoints that have become fast again."""
+MIN_WAIT_SHARE = 0.2
+"""Share of its target that a request may always wait. With endpoints so slow
+that the first token alone takes the whole target, nothing would be admitted
+otherwise, and endpoints that are fast again would never be noticed."""
 
 WAITING_FACTOR = 2.0
-"""A waiting one is given up when it is predicted later than this many times
-its target; above `ARRIVAL_FACTOR`, or a prediction that moves a little would
-throw out those who were just let in."""
+"""A waiting request is given up when its first token is predicted later than
+this multiple of its target. It is above `ARRIVAL_FACTOR`, so that a small
+change of the prediction does not drop requests that were just admitted."""
 
-LOOKS_PER_TARGET = 4
-"""How often within its target a waiting job is looked at."""
+CHECKS_PER_TARGET = 4
+"""Checks of a waiting job within its target time."""
 
 WAITING_BOUND = 320
-"""Most requests that wait in one instance."""
+"""Maximum number of requests waiting in one instance."""
 
-MOST_SERVICE_SHARE = 0.5
-"""Part of a job's whole time that its run is reckoned to take at most. A guess
-above the whole time would refuse every job of the class on idle endpoints;
-none would run, so the guess would never be mended."""
+MAX_SERVICE_SHARE = 0.5
+"""Upper bound on the estimated run time of a job, as a share of the time until
+its deadline. An estimate above the whole time would refuse every job of the
+class on idle endpoints; none would run, so the estimate would stay wrong."""
 
 AGE_TARGET_SHARE = 0.5
-"""Part of its class's target that the oldest job may wait."""
+"""Share of its class's target that the oldest job may wait."""
 
 AGE_INTERVAL_SHARE = 1.0
-"""Time above that before anybody is refused, as a part of the target."""
+"""Time above that before the first refusal, as a share of the target."""
 
 
 class _DeadlineAdmission(base.Admission):
-    """What both ways share: the bound and the deadline."""
+    """Common base: the waiting bound and the deadline check."""
 
     def waiting_bound(self) -> int:
         """Returns `WAITING_BOUND`."""
@@ -83,21 +82,21 @@
     def give_up(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> str | None:
-        """Gives up a job that cannot end by its deadline any more."""
-        if now_s >= _last_start_s(job, backlog):
+        """Gives up a job that can no longer end by its deadline."""
+        if now_s >= _latest_start_s(job, backlog):
             return "it can no longer be answered by its deadline"
         return None
 
     def look_s(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> float:
-        """Returns the last moment at which the job could be started."""
-        return _last_start_s(job, backlog)
+        """Returns the latest time at which the job could be started."""
+        return _latest_start_s(job, backlog)
 
 
 @registry.plugin("admission", "predicted-wait")
 class PredictedWaitAdmission(_DeadlineAdmission):
-    """Refuses what would miss its target by a prediction."""
+    """Refuses requests that are predicted to miss their target."""
 
     def refuse(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
@@ -110,11 +109,11 @@
     def give_up(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> str | None:
-        """Gives up a job past its last start, or far behind its target.
+        """Gives up a job past its latest start, or far behind its target.
 
-        Jobs let in while a lower tier held more than its share can be too
-        many once those slots are back; they are told now rather than at
-        their deadline.
+        Jobs that were admitted while a lower tier held more than its share can
+        be too many once those slots are free; they are refused now rather
+        than at their deadline.
         """
         reason = super().give_up(job, backlog, now_s)
         if reason is not None or backlog.lower_over_reserve:
@@ -126,9 +125,9 @@
     def look_s(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> float:
-        """Returns when it is due for a look."""
-        step_s = job.target_first_token_s / LOOKS_PER_TARGET
-        return min(now_s + step_s, _last_start_s(job, backlog))
+        """Returns the time of the next check, or the latest start."""
+        step_s = job.target_first_token_s / CHECKS_PER_TARGET
+        return min(now_s + step_s, _latest_start_s(job, backlog))
 
 
 @registry.plugin("admission", "queue-age")
@@ -165,7 +164,7 @@
         self._count = 0
 
     def refuses(self, late: bool, interval_s: float, now_s: float) -> bool:
-        """Tells whether the request that arrives now is refused."""
+        """Returns whether the request that arrives now is refused."""
         if not late:
             self._late_since_s = None
             self._count = 0
@@ -180,9 +179,9 @@
         return True
 
 
-def _last_start_s(job: messages.Job, backlog: messages.Backlog) -> float:
-    whole_s = job.deadline_s - job.arrived_s
-    return job.deadline_s - min(backlog.service_s, MOST_SERVICE_SHARE * whole_s)
+def _latest_start_s(job: messages.Job, backlog: messages.Backlog) -> float:
+    total_s = job.deadline_s - job.arrived_s
+    return job.deadline_s - min(backlog.service_s, MAX_SERVICE_SHARE * total_s)
 
 
 def _too_late(
@@ -193,7 +192,7 @@
 ) -> str | None:
     target_s = job.target_first_token_s
     allowed_s = max(
-        factor * target_s - backlog.first_token_s, LEAST_WAIT_SHARE * target_s
+        factor * target_s - backlog.first_token_s, MIN_WAIT_SHARE * target_s
     )
     wait_s = now_s - job.arrived_s + backlog.predicted_wait_s
     if wait_s <= allowed_s:
--- a/cardamombarrow/decisions/fairness.py
+++ b/cardamombarrow/decisions/fairness.py
@@ -1,26 +1,26 @@
-"""The order within one tier: deficit round robin, earliest deadline first.
+"""The order within a tier: deficit round robin, earliest deadline first.
 
-Load pattern: one workspace sends far more than the others. Served in order of
-arrival, its backlog stands before everybody's, and the others miss their
-targets for a burst that is not theirs.
+Load pattern: one workspace sends far more than the others. In order of
+arrival, its backlog is served before their requests, and the others miss their
+targets because of a burst that is not theirs.
 
-Each workspace has a credit of estimated tokens. Each round gives it a quantum
-times its weight; a job that is served is paid from it, and a workspace whose
-credit is used up sits out until enough rounds have passed. Among those with
-credit the earliest deadline (arrival plus target of the first token) goes
-first, so that the order differs from plain earliest-deadline-first only where
-somebody takes more than its part. The difference between an answer's true and
-estimated length is settled when it has ended, so that a workspace of long
-answers of unknown length pays for them, too.
+Each workspace has a credit of estimated tokens. Each round adds a quantum
+times its weight; a served job is charged to it, and a workspace whose credit
+is used up is suspended until enough rounds have passed. Among the workspaces
+with credit the earliest deadline (arrival plus target of the first token) goes
+first, so that the order differs from plain earliest-deadline-first only if a
+workspace uses more than its fair share. The difference between the actual and
+the estimated length of an answer is charged when it has ended, so that a
+workspace with long answers of unknown length is charged for them as well.
 
 The scheme is Shreedhar and Varghese, "Efficient Fair Queuing using Deficit
-Round Robin", SIGCOMM 1995, in its variant that serves first and pays later:
-a job's length is not known when it is served. Taking a job costs O(log n) in
-the workspaces that have jobs; idle ones cost nothing.
+Round Robin", SIGCOMM 1995, in the variant that charges after service: the
+length of a job is not known when it is served. Removing a job costs O(log n) in
+the number of workspaces with jobs; idle workspaces cost nothing.
 
 The quantum follows the mean estimated length in this tier, so that a round is
-about one job of each workspace; a smaller one only adds rounds, a larger one
-lets a hot workspace send several jobs in a row.
+about one job per workspace; a smaller one only adds rounds, a larger one lets
+a hot workspace send several jobs in a row.
 """
 
 from collections import abc
@@ -38,7 +38,7 @@
 """Weight of one pushed job in the mean length that sets the quantum."""
 
 DEBT_MAX_ROUNDS = 100
-"""Most rounds that a workspace sits out: one endless answer costs no more."""
+"""Maximum rounds that a workspace is suspended, even for an endless answer."""
 
 
 class _Entry:
@@ -63,9 +63,10 @@
     """One workspace's jobs.
 
     Attributes:
-        live: Jobs in the heap that were not removed.
-        taken: Jobs that have left, for a job's place in the line.
-        ready_round: Round from which on it takes part; 0 is now.
+        live: Number of jobs in the heap that were not removed.
+        taken: Number of jobs that have left, to compute positions.
+        ready_round: First round in which the workspace is served again; 0 if
+            it was never suspended.
     """
 
     __slots__ = (
@@ -90,7 +91,7 @@
         self.ready_round = 0
 
     def head(self) -> _Entry | None:
-        """Returns the earliest entry, and drops removed ones before it."""
+        """Returns the earliest entry, dropping removed ones before it."""
         while self.heap and self.heap[0].job is None:
             heapq.heappop(self.heap)
         return self.heap[0] if self.heap else None
@@ -101,14 +102,14 @@
 
     Attributes:
         entries: The queued jobs by id; empty while nothing waits.
-        active: Workspaces that have queued jobs.
+        active: Number of workspaces with queued jobs.
     """
 
     def __init__(self):
         self._flows: dict[ids.WorkspaceId, _Flow] = {}
         self.entries: dict[ids.RequestId, _Entry] = {}
         self._eligible: list[_Entry] = []
-        self._spent: list[tuple[int, int, _Flow]] = []
+        self._suspended: list[tuple[int, int, _Flow]] = []
         self._numbers = itertools.count()
         self._round = 0
         self._quantum = FIRST_QUANTUM_TOKENS
@@ -119,15 +120,15 @@
         return len(self.entries)
 
     def __contains__(self, request_id: ids.RequestId) -> bool:
-        """Tells whether a job is queued here."""
+        """Returns whether a job is queued here."""
         return request_id in self.entries
 
     def jobs(self) -> list[messages.Job]:
-        """Returns all queued jobs, in no order."""
+        """Returns all queued jobs, in arbitrary order."""
         return [e.job for e in self.entries.values() if e.job is not None]
 
     def push(self, job: messages.Job, weight: float) -> None:
-        """Adds a job of a workspace that has this weight."""
+        """Adds a job of a workspace with the given weight."""
         self._quantum += QUANTUM_WEIGHT * (_cost(job) - self._quantum)
         flow = self._flow(job.workspace)
         flow.weight = max(weight, 1e-3)
@@ -141,15 +142,15 @@
             heapq.heappush(self._eligible, entry)
 
     def remove(self, request_id: ids.RequestId) -> messages.Job | None:
-        """Takes a job out without serving it."""
+        """Removes a job without serving it."""
         entry = self.entries.pop(request_id, None)
         if entry is None:
             return None
-        job = self._leave(entry)
-        # Whoever stands behind a removed head has no place among the eligible
-        # yet; without this a workspace would be passed over for good.
+        job = self._detach(entry)
+        # The job behind a removed head is not among the eligible ones yet;
+        # without this the workspace would never be served again.
         if entry.flow.ready_round <= self._round:
-            self._place(entry.flow)
+            self._reschedule(entry.flow)
         return job
 
     def peek(self) -> messages.Job | None:
@@ -158,26 +159,26 @@
         return None if entry is None else entry.job
 
     def pop(self) -> messages.Job | None:
-        """Takes out the next job and charges its workspace for it."""
+        """Removes the next job and charges its workspace for it."""
         entry = self._next()
         if entry is None or entry.job is None:
             return None
         heapq.heappop(self._eligible)
         heapq.heappop(entry.flow.heap)
         del self.entries[entry.job.request_id]
-        job = self._leave(entry)
+        job = self._detach(entry)
         entry.flow.credit -= _cost(job)
-        self._place(entry.flow)
+        self._reschedule(entry.flow)
         return job
 
     def settle(self, job: messages.Job, tokens: int) -> None:
-        """Charges a workspace for the part that the estimate missed."""
+        """Charges a workspace for the error of the length estimate."""
         flow = self._flow(job.workspace)
         flow.credit -= tokens - _cost(job)
         if flow.ready_round <= self._round and (
             flow.credit <= 0.0 or not flow.live
         ):
-            self._place(flow)
+            self._reschedule(flow)
 
     def heads(self, most: int) -> list[messages.Job]:
         """Returns the next jobs, in order."""
@@ -191,37 +192,37 @@
             yield entry
 
     def hide(self) -> _Entry | None:
-        """Puts the next job aside, to look behind it; it stays counted."""
+        """Hides the next job from `peek` and `pop`; it stays counted."""
         entry = self._next()
         if entry is not None:
             heapq.heappop(self._eligible)
             heapq.heappop(entry.flow.heap)
-            self._enlist(entry.flow)
+            self._push_head(entry.flow)
         return entry
 
     def restore(self, entry: _Entry) -> None:
-        """Puts a job back that was put aside."""
+        """Undoes `hide`."""
         heapq.heappush(entry.flow.heap, entry)
         if entry.flow.ready_round <= self._round:
             heapq.heappush(self._eligible, entry)
 
     def position(self, job: messages.Job) -> int:
-        """Returns an upper estimate of the jobs of this tier before a job."""
+        """Returns an upper bound on the jobs of this tier before a job."""
         entry = self.entries.get(job.request_id)
         flow = self._flows.get(job.workspace)
         if entry is not None:
-            before = max(entry.position - entry.flow.taken, 0)
+            earlier = max(entry.position - entry.flow.taken, 0)
         else:
-            before = flow.live if flow else 0
+            earlier = flow.live if flow else 0
         others = self.active - (1 if flow and flow.live else 0)
         queued = len(self.entries) - (1 if entry is not None else 0)
-        # While it sits out, also those who come later go first.
-        rounds_out = max(flow.ready_round - self._round, 0) if flow else 0
-        overtaking = rounds_out * others
-        return min(queued, before + (before + 1) * others) + overtaking
+        # While the workspace is suspended, later jobs of others go first.
+        rounds_left = max(flow.ready_round - self._round, 0) if flow else 0
+        overtaking_jobs = rounds_left * others
+        return min(queued, earlier + (earlier + 1) * others) + overtaking_jobs
 
     def longest(self) -> messages.Job | None:
-        """Returns the last job of the workspace with the most waiting."""
+        """Returns the last job of the workspace with the most jobs."""
         if not self.entries:
             return None
         flow = max(self._flows.values(), key=lambda flow: flow.live)
@@ -236,7 +237,7 @@
             self._flows[workspace] = flow
         return flow
 
-    def _leave(self, entry: _Entry) -> messages.Job:
+    def _detach(self, entry: _Entry) -> messages.Job:
         job = entry.job
         assert job is not None
         entry.job = None
@@ -247,16 +248,16 @@
         return job
 
     def _next(self) -> _Entry | None:
-        """Returns the earliest entry among workspaces that have credit."""
+        """Returns the earliest entry among workspaces with credit."""
         while self.entries:
             while self._eligible:
                 entry = self._eligible[0]
                 if self._is_current(entry):
                     return entry
                 heapq.heappop(self._eligible)
-            if not self._spent:
+            if not self._suspended:
                 break
-            self._round = max(self._round, self._spent[0][0])
+            self._round = max(self._round, self._suspended[0][0])
             self._start_round()
         return None
 
@@ -265,32 +266,32 @@
         return flow.ready_round <= self._round and flow.head() is entry
 
     def _start_round(self) -> None:
-        while self._spent and self._spent[0][0] <= self._round:
-            _, _, flow = heapq.heappop(self._spent)
-            self._place(flow)
+        while self._suspended and self._suspended[0][0] <= self._round:
+            _, _, flow = heapq.heappop(self._suspended)
+            self._reschedule(flow)
 
-    def _place(self, flow: _Flow) -> None:
+    def _reschedule(self, flow: _Flow) -> None:
         if flow.credit <= 0.0:
-            self._sit_out(flow)
+            self._suspend(flow)
         elif flow.live:
-            self._enlist(flow)
+            self._push_head(flow)
         else:
-            # It starts afresh when it comes again; the thousands of idle
-            # workspaces take no memory.
+            # Thousands of idle workspaces take no memory; each starts with
+            # a new credit at its next job.
             self._flows.pop(flow.workspace, None)
 
-    def _enlist(self, flow: _Flow) -> None:
+    def _push_head(self, flow: _Flow) -> None:
         head = flow.head()
         if head is not None:
             heapq.heappush(self._eligible, head)
 
-    def _sit_out(self, flow: _Flow) -> None:
+    def _suspend(self, flow: _Flow) -> None:
         quantum = self._quantum * flow.weight
         rounds = math.floor(-flow.credit / quantum) + 1
         flow.credit += rounds * quantum
         flow.ready_round = self._round + min(rounds, DEBT_MAX_ROUNDS)
         heapq.heappush(
-            self._spent, (flow.ready_round, next(self._numbers), flow)
+            self._suspended, (flow.ready_round, next(self._numbers), flow)
         )
 
 
--- a/cardamombarrow/decisions/limits.py
+++ b/cardamombarrow/decisions/limits.py
@@ -1,23 +1,24 @@
-"""How many requests an endpoint takes at once, learned from first tokens.
+"""Adaptive concurrency limits per endpoint, from the time to first token.
 
-Load pattern answered: the slots written in the document are more than an
-engine can carry now, because its memory went to long prompts, an adapter or
-another tenant. Without this module the engine keeps taking requests up to the
-written number; it evicts and recomputes, every request on it slows down, and
-its load report says so seconds later.
+Load pattern: the slots in the document are more than an engine can serve now,
+because its memory is used by long prompts, an adapter or another tenant.
+Without this module the engine gets requests up to the configured number; it
+evicts and recomputes, every request on it slows down, and its load report
+shows this seconds later.
 
 The signals are this instance's own time from placement to first token, per
-prompt token, and the time per token of its running requests, each against the
-lowest seen in the last windows: they need nothing from the engine and are as
-fresh as the traffic. The second is there because an engine out of memory
-slows what runs more than it delays a first token. A load report that shows
-requests waiting inside the engine counts as one more sample of congestion and
-no more, because it is late; what was placed since is in this instance's own
-books (`EndpointState.in_flight`).
-
-``gradient`` moves the limit by the ratio of the two times, ``aimd`` adds and
-halves as TCP does. Their figures, and the grounds of the constants, stand in
-docs/decisions/endpoints.md. The limit never passes the document's slots.
+prompt token, and the time per token of its running requests, each compared
+with the minimum of the last windows: they need nothing from the engine and are
+as recent as the traffic. The second signal exists because an engine that is
+out of memory slows running requests more than it delays a first token. A load
+report that shows requests waiting inside the engine counts as one more sample
+of congestion only, because it is late; requests placed since are counted by
+this instance (`EndpointState.in_flight`).
+
+``gradient`` scales the limit by the ratio of the two times, ``aimd`` increases
+additively and decreases multiplicatively as TCP does. Measurements and the
+reasons for the constants are in docs/decisions/endpoints.md. The limit never
+exceeds the document's slots.
 """
 
 import abc
@@ -34,131 +35,137 @@
 __all__ = ["AimdLimits", "FirstTokenLimits", "GradientLimits"]
 
 FIXED_PROMPT_TOKENS = 100
-"""Prompt tokens that the fixed part of a first token's time is worth."""
+"""Fixed cost of a first token, in equivalent prompt tokens."""
 
-LEAST_FIRST_S = 0.05
-LEAST_PACE_S = 0.01
-"""Shorter times to the first token, and per token, count as these.
+MIN_FIRST_TOKEN_S = 0.05
+MIN_TOKEN_TIME_S = 0.01
+"""Lower bounds on the measured times to the first token and per token.
 
-Below them a ratio says more of the entry's own threads than of the engine,
-and a low-water mark near nothing would make everything look like congestion.
+Below them a ratio depends more on the threads of the entry than on the engine,
+and a minimum near zero would make every later time look like congestion.
 """
 
-LEAST_PACE_TOKENS = 20
-"""Fewer tokens than these say little about the time per token."""
+MIN_TOKEN_TIME_TOKENS = 20
+"""Minimum number of tokens for a sample of the time per token."""
 
 WINDOW_S = 30.0
-"""The low-water mark is the least of this window and the one before it.
+"""Window of the minimum, which is taken over this window and the one before.
 
-So it rises within a minute when an engine has become slower for good.
+The minimum thus rises within a minute when an engine becomes slower for good.
 """
 
 SAMPLE_WEIGHT = 0.2
-"""Weight of one first token in the present time."""
+"""Weight of one sample in the moving average of a time."""
 
 TOLERANCE = 4.0
-"""Ratio of present time to low-water mark that is no congestion.
+"""Ratio of mean to minimum time up to which there is no congestion.
 
 Prompts that are read in one step add up: at 2 the limits were cut in patterns
-with long shared prompts, and the prefixes lost their home.
+with long shared prompts, and prefixes were moved off the engines that had them
+cached.
 """
 
-PACE_TOLERANCE = 2.5
+TOKEN_TIME_TOLERANCE = 2.5
 """The same for the time per token.
 
-A full batch doubles it, and a long prompt that is read in between adds some.
+A full batch doubles it, and a long prompt that is read in between adds more.
 """
 
-LEAST_GRADIENT = 0.5
-"""Most that one sample may ask the limit to shrink to."""
+MIN_GRADIENT = 0.5
+"""Lower bound on the factor that one sample may apply to the limit."""
 
 HEADROOM_SLOTS = 1.0
-"""Slots that are tried beyond what the gradient gives."""
+"""Slots added to the result of the gradient, to probe a higher limit."""
 
-GROWING = 0.2
-SHRINKING = 0.5
-"""Parts of the way to the wanted limit that one sample goes.
+GROW_SHARE = 0.2
+SHRINK_SHARE = 0.5
+"""Shares of the distance to the new limit that one sample moves.
 
-Too many requests harm all that run there; too few harm nobody at once.
+Too many requests slow all requests on the endpoint; too few have no immediate
+effect.
 """
 
-LEAST_LIMIT = 1.0
-"""An endpoint always takes one request, or nothing new would be learned."""
+MIN_LIMIT = 1.0
+"""An endpoint always gets one request; otherwise there are no new samples."""
 
 AIMD_BACKOFF = 0.7
 """Factor on congestion, at most once per `AIMD_PAUSE_S`."""
 
 AIMD_PAUSE_S = 1.0
-"""Time in which the effect of a reduction can show in first tokens."""
+"""Time until a reduction shows in the time to first token."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Signal:
-    """A time that grows under congestion, and its low-water mark.
+    """A time that grows under congestion, and its windowed minimum.
 
     Attributes:
-        tolerance: Ratio of present time to low-water mark that is no
+        tolerance: Ratio of mean to minimum up to which there is no
             congestion.
-        present_s: Recent mean.
-        low_s: Least of the running window; `old_low_s` of the one before.
+        mean_s: Exponential moving average.
+        min_s: Minimum of the current window.
+        previous_min_s: Minimum of the window before.
+        window_start_s: Start of the current window.
     """
 
     tolerance: float
-    present_s: float
-    low_s: float
-    old_low_s: float
-    window_from_s: float
+    mean_s: float
+    min_s: float
+    previous_min_s: float
+    window_start_s: float
 
     @classmethod
-    def begin(cls, tolerance: float, value_s: float, now_s: float) -> "_Signal":
-        """Returns a signal of one sample."""
+    def start(cls, tolerance: float, value_s: float, now_s: float) -> "_Signal":
+        """Returns a signal with one sample."""
         return cls(tolerance, value_s, value_s, value_s, now_s)
 
     @property
     def gradient(self) -> float:
-        """Tolerated time over present time: under 1 under congestion."""
-        low_s = min(self.low_s, self.old_low_s)
-        return self.tolerance * low_s / max(self.present_s, 1e-9)
+        """Tolerated time over mean time; below 1 under congestion."""
+        min_s = min(self.min_s, self.previous_min_s)
+        return self.tolerance * min_s / max(self.mean_s, 1e-9)
 
     def sample(self, value_s: float, now_s: float) -> None:
-        """Takes one time."""
-        self.present_s += SAMPLE_WEIGHT * (value_s - self.present_s)
-        if now_s - self.window_from_s > WINDOW_S:
-            self.old_low_s = self.low_s
-            self.low_s = value_s
-            self.window_from_s = now_s
-        self.low_s = min(self.low_s, value_s)
+        """Adds a sample."""
+        self.mean_s += SAMPLE_WEIGHT * (value_s - self.mean_s)
+        if now_s - self.window_start_s > WINDOW_S:
+            self.previous_min_s = self.min_s
+            self.min_s = value_s
+            self.window_start_s = now_s
+        self.min_s = min(self.min_s, value_s)
 
 
 @dataclasses.dataclass(slots=True)
-class _Track:
-    """One endpoint's limit and the times it rests on.
+class _LimitControl:
+    """One endpoint's limit and the signals that it follows.
 
     Attributes:
         first: Time to first token, per prompt token.
-        pace: Time per token of the requests that run, or None.
-        report_at_s: Time of the last report that was looked at.
+        token_time: Time per token of the running requests, or None.
+        report_at_s: Time of the last processed report.
         reduced_at_s: Time of the last reduction.
     """
 
     limit: float
     first: _Signal
-    pace: _Signal | None = None
+    token_time: _Signal | None = None
     report_at_s: float = float("-inf")
     reduced_at_s: float = float("-inf")
 
     @property
     def gradient(self) -> float:
         """The worse of the two signals."""
-        if self.pace is None:
+        if self.token_time is None:
             return self.first.gradient
-        return min(self.first.gradient, self.pace.gradient)
+        return min(self.first.gradient, self.token_time.gradient)
 
-    def sample_pace(self, value_s: float, now_s: float) -> None:
-        """Takes one time per token."""
-        if self.pace is None:
-            self.pace = _Signal.begin(PACE_TOLERANCE, value_s, now_s)
-        self.pace.sample(value_s, now_s)
+    def sample_token_time(self, value_s: float, now_s: float) -> None:
+        """Adds a sample of the time per token."""
+        if self.token_time is None:
+            self.token_time = _Signal.start(
+                TOKEN_TIME_TOLERANCE, value_s, now_s
+            )
+        self.token_time.sample(value_s, now_s)
 
 
 class FirstTokenLimits(base.Limits):
@@ -166,38 +173,49 @@
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
-        self._tracks: dict[ids.EndpointId, _Track] = {}
+        self._controls: dict[ids.EndpointId, _LimitControl] = {}
         self._prefixes = prefixes.SharedPrefixes()
 
     @abc.abstractmethod
     def _adjust(
-        self, track: _Track, gradient: float, busy: bool, now_s: float
+        self,
+        control: _LimitControl,
+        gradient: float,
+        busy: bool,
+        now_s: float,
     ) -> None:
-        """Moves the limit by one sample; `busy` where slots are used."""
+        """Adjusts the limit by one sample.
+
+        Args:
+            control: The state of the endpoint.
+            gradient: Tolerated over mean time; below 1 under congestion.
+            busy: Whether at least half the slots are used.
+            now_s: The time.
+        """
 
     def limit(self, state: endpoint_module.EndpointState, now_s: float) -> int:
-        """Returns the learned limit, at most the document's slots."""
-        track = self._tracks.get(state.endpoint)
-        if track is None:
+        """Returns the current limit, at most the document's slots."""
+        control = self._controls.get(state.endpoint)
+        if control is None:
             return state.configured_slots
-        self._look_at_report(track, state, now_s)
-        track.limit = min(track.limit, float(state.configured_slots))
-        return max(1, round(track.limit))
+        self._apply_report(control, state, now_s)
+        control.limit = min(control.limit, float(state.configured_slots))
+        return max(1, round(control.limit))
 
-    def _look_at_report(
+    def _apply_report(
         self,
-        track: _Track,
+        control: _LimitControl,
         state: endpoint_module.EndpointState,
         now_s: float,
     ) -> None:
         report = state.report
-        if report is None or report.measured_at_s <= track.report_at_s:
+        if report is None or report.measured_at_s <= control.report_at_s:
             return
-        track.report_at_s = report.measured_at_s
+        control.report_at_s = report.measured_at_s
         if report.waiting:
             taken = report.running / (report.running + report.waiting)
-            self._adjust(track, max(taken, LEAST_GRADIENT), True, now_s)
-            track.limit = max(LEAST_LIMIT, track.limit)
+            self._adjust(control, max(taken, MIN_GRADIENT), True, now_s)
+            control.limit = max(MIN_LIMIT, control.limit)
 
     def on_first_token(
         self,
@@ -205,91 +223,100 @@
         running: messages.Running,
         now_s: float,
     ) -> None:
-        """Learns from a first token; an answer in one piece has none."""
+        """Adjusts the limit; an answer that is not streamed has no effect."""
         if not running.job.streams:
             return
-        track = self._track(state, running, now_s)
-        if track is None:
+        control = self._record_first_token(state, running, now_s)
+        if control is None:
             return
-        pace_s = _present_pace_s(state, now_s)
-        if pace_s is not None:
-            track.sample_pace(pace_s, now_s)
+        token_time_s = _token_time_s(state, now_s)
+        if token_time_s is not None:
+            control.sample_token_time(token_time_s, now_s)
         busy = 2 * len(state.running) >= state.share
-        self._adjust(track, track.gradient, busy, now_s)
-        track.limit = max(
-            LEAST_LIMIT, min(track.limit, float(state.configured_slots))
+        self._adjust(control, control.gradient, busy, now_s)
+        control.limit = max(
+            MIN_LIMIT, min(control.limit, float(state.configured_slots))
         )
 
-    def _track(
+    def _record_first_token(
         self,
         state: endpoint_module.EndpointState,
         running: messages.Running,
         now_s: float,
-    ) -> _Track | None:
-        """Takes the time of a first token.
+    ) -> _LimitControl | None:
+        """Adds the time to a first token and returns the endpoint's state.
 
-        A prompt that the engine has in its cache answers several times
-        sooner; taken for the low-water mark it would make every new prompt
-        look like congestion and cut the limit in half. So prompts whose
-        beginning was seen before are left out.
+        A prompt in the engine's cache is answered several times faster; as
+        the minimum it would make every new prompt look like congestion and
+        halve the limit. Prompts whose prefix was seen before are skipped.
         """
         job = running.job
         cached = self._prefixes.shared(job.prefix_key, running.placed_s)
         self._prefixes.remember(job.prefix_key, running.placed_s)
-        track = self._tracks.get(state.endpoint)
+        control = self._controls.get(state.endpoint)
         if cached:
-            return track
+            return control
         work = job.prompt_tokens + FIXED_PROMPT_TOKENS
-        first_s = max(now_s - running.placed_s, LEAST_FIRST_S)
+        first_s = max(now_s - running.placed_s, MIN_FIRST_TOKEN_S)
         value_s = first_s / work
-        if track is None:
+        if control is None:
             slots = float(state.configured_slots)
-            track = _Track(slots, _Signal.begin(TOLERANCE, value_s, now_s))
-            self._tracks[state.endpoint] = track
-        track.first.sample(value_s, now_s)
-        return track
+            control = _LimitControl(
+                slots, _Signal.start(TOLERANCE, value_s, now_s)
+            )
+            self._controls[state.endpoint] = control
+        control.first.sample(value_s, now_s)
+        return control
 
 
-def _present_pace_s(
+def _token_time_s(
     state: endpoint_module.EndpointState, now_s: float
 ) -> float | None:
-    """Returns the time per token of what runs there, None if too little."""
+    """Returns the time per token of running requests; None if too few."""
     busy_s = 0.0
     tokens = 0
     for running in state.running.values():
         if running.first_token_s is not None:
             busy_s += now_s - running.first_token_s
             tokens += running.tokens
-    if tokens < LEAST_PACE_TOKENS:
+    if tokens < MIN_TOKEN_TIME_TOKENS:
         return None
-    return max(busy_s / tokens, LEAST_PACE_S)
+    return max(busy_s / tokens, MIN_TOKEN_TIME_S)
 
 
 @registry.plugin("limits", "gradient")
 class GradientLimits(FirstTokenLimits):
-    """Scales the limit by tolerated over present time."""
+    """Scales the limit by the ratio of tolerated to mean time."""
 
     def _adjust(
-        self, track: _Track, gradient: float, busy: bool, now_s: float
+        self,
+        control: _LimitControl,
+        gradient: float,
+        busy: bool,
+        now_s: float,
     ) -> None:
-        bounded = max(LEAST_GRADIENT, min(1.0, gradient))
-        wanted = track.limit * bounded + HEADROOM_SLOTS
-        if wanted > track.limit and not busy:
+        bounded = max(MIN_GRADIENT, min(1.0, gradient))
+        target = control.limit * bounded + HEADROOM_SLOTS
+        if target > control.limit and not busy:
             return
-        part = SHRINKING if wanted < track.limit else GROWING
-        track.limit += part * (wanted - track.limit)
+        step = SHRINK_SHARE if target < control.limit else GROW_SHARE
+        control.limit += step * (target - control.limit)
 
 
 @registry.plugin("limits", "aimd")
 class AimdLimits(FirstTokenLimits):
-    """Adds a slot per round of first tokens, cuts on congestion."""
+    """Adds a slot per round of first tokens, backs off on congestion."""
 
     def _adjust(
-        self, track: _Track, gradient: float, busy: bool, now_s: float
+        self,
+        control: _LimitControl,
+        gradient: float,
+        busy: bool,
+        now_s: float,
     ) -> None:
         if gradient >= 1.0:
             if busy:
-                track.limit += 1.0 / track.limit
-        elif now_s - track.reduced_at_s >= AIMD_PAUSE_S:
-            track.limit *= AIMD_BACKOFF
-            track.reduced_at_s = now_s
+                control.limit += 1.0 / control.limit
+        elif now_s - control.reduced_at_s >= AIMD_PAUSE_S:
+            control.limit *= AIMD_BACKOFF
+            control.reduced_at_s = now_s
--- a/cardamombarrow/decisions/tiers.py
+++ b/cardamombarrow/decisions/tiers.py
@@ -1,33 +1,32 @@
-"""Whom to serve next: strict preference by tier, with a reserved share.
+"""Queue with strict priority by tier, and a reserved share for each tier.
 
-Load pattern: a burst of one tier. Served in order of arrival, a burst of long
-letters stands before every chat message; with strict preference alone, a
-burst of chat keeps letters from running for as long as it lasts.
+Load pattern: a burst of one tier. In order of arrival, a burst of long letters
+is served before every later chat message; with strict priority alone, a burst
+of chat keeps letters from running for as long as it lasts.
 
-A higher tier always goes first, except that each lower tier with work waiting
+A higher tier always goes first, except that each lower tier with waiting jobs
 is owed its `reserved_share` of the slots. Eight slots at a share of 0.1 are
-0.8 of a slot, so the fraction is carried: while higher tiers wait, a lower
-tier's credit grows by its reserved slot-seconds and shrinks by those it
-holds. With credit above zero it gets the next free slot, one whole slot at a
+0.8 of a slot, so the fraction is carried over: while higher tiers wait, the
+credit of a lower tier grows by its reserved slot-seconds and shrinks by those
+it uses. With credit above zero it gets the next free slot, one whole slot at a
 time. Time rather than tokens is counted, because the length of an answer is
-not known when it starts and slots are what tiers compete for.
-
-Slots that a lower tier took while nobody above it waited are not counted
-against it beyond its reserved ones, or a burst from above would find it in
-debt for minutes and it would starve. Giving them back early is the matter of
-`preemption`.
-
-A lower tier also leaves a few slots free while higher tiers are in use of
-late: with all slots held by long answers, an urgent request would have to
-wait for one of them to end, or throw one away.
-
-Without `HEADROOM_SHARE` the highest tier finds no free slot in a burst and work
-of others is thrown away for it; with more of it slots stand empty. It is
-rounded down, so that an instance with fewer than ten slots keeps none. Credit
-and debt are bounded to what `CREDIT_S` and `DEBT_S` seconds of the reserved
-slots give: credit saved for longer would come out as a burst of the low tier at
-the moment the high one needs its slots; debt above a minute would leave windows
-in which the tier completes nothing.
+not known when it starts and tiers compete for slots.
+
+Slots that a lower tier took while no higher tier waited are not charged beyond
+its reserved ones; otherwise it would be in debt for minutes at the start of a
+burst of a higher tier, and would starve. `preemption` frees such slots early.
+
+A lower tier also leaves a few slots free if higher tiers have used slots
+recently: with all slots taken by long answers, an urgent request would have to
+wait until one of them ends, or have one preempted.
+
+Without `HEADROOM_SHARE` the highest tier finds no free slot in a burst and
+requests of others are preempted for it; with a larger share slots stay idle. It
+is rounded down, so that an instance with fewer than ten slots reserves none.
+Credit and debt are bounded to `CREDIT_S` and `DEBT_S` seconds of the reserved
+slots: more credit would allow a burst of the low tier just when the high one
+needs its slots; debt above a minute would leave windows in which the tier
+completes nothing.
 """
 
 import collections
@@ -48,16 +47,16 @@
 CREDIT_S = 10.0
 DEBT_S = 60.0
 HEADROOM_SHARE = 0.1
-"""Most slots that are kept free for higher tiers, as a part of all."""
+"""Maximum slots left free for higher tiers, as a share of all slots."""
 
 HEADROOM_USE = 0.1
-"""Mean slots that higher tiers must have used of late to have any kept."""
+"""Mean recent slots of higher tiers above which slots are left free."""
 
-LEADERS = 8
-"""Waiting jobs looked at for a preemption, at most."""
+MAX_HEAD_JOBS = 8
+"""Maximum number of waiting jobs considered for preemption."""
 
-PASSED_OVER = 4
-"""Jobs of a tier that are looked at when the first ones have no room."""
+MAX_SKIPPED = 4
+"""Maximum jobs of a tier that are skipped because no free slot fits."""
 
 
 class _ServiceQueue:
@@ -72,7 +71,7 @@
         self._seen_s = now_s
 
     def tier(self, rank: int) -> fairness.FairQueue:
-        """Returns the queue of a tier, made where there is none."""
+        """Returns the queue of a tier, creating it if needed."""
         if rank not in self.tiers:
             self.tiers[rank] = fairness.FairQueue()
             self.tiers = dict(sorted(self.tiers.items()))
@@ -86,72 +85,77 @@
 
     def take(
         self,
-        room: base.Room,
+        free_slots: base.Room,
         capacity: capacity_module.Capacity,
         shares: dict[int, float],
         now_s: float,
     ) -> messages.Job | None:
-        """Takes out the next job for which there is room."""
+        """Removes and returns the next job that has a free slot, or None."""
         waiting = self.waiting()
         if not waiting and not self._contended:
             self._seen_s = now_s
             return None
         slots = capacity.slots
         reserved = {rank: share * slots for rank, share in shares.items()}
-        self._advance(reserved, now_s)
-        taken = self._take_first(waiting, room, capacity, reserved, now_s)
-        self._remember(capacity.held, taken)
+        self._accrue_credits(reserved, now_s)
+        taken = self._take_by_priority(
+            waiting, free_slots, capacity, reserved, now_s
+        )
+        self._save_contention(capacity.held, taken)
         return taken
 
-    def _take_first(
+    def _take_by_priority(
         self,
         waiting: list[int],
-        room: base.Room,
+        free_slots: base.Room,
         capacity: capacity_module.Capacity,
         reserved: dict[int, float],
         now_s: float,
     ) -> messages.Job | None:
-        owed = self._owed(waiting, reserved, capacity.held)
+        owed = self._owed_tiers(waiting, reserved, capacity.held)
         for rank in [*owed, *(r for r in waiting if r not in owed)]:
-            if rank not in owed and _keeps_free(capacity, rank, now_s):
+            if rank not in owed and _is_headroom(capacity, rank, now_s):
                 break
-            job = self._take_from(rank, room, capacity)
+            job = self._take_from(rank, free_slots, capacity)
             if job is not None:
                 return job
         return None
 
     def _take_from(
-        self, rank: int, room: base.Room, capacity: capacity_module.Capacity
+        self,
+        rank: int,
+        free_slots: base.Room,
+        capacity: capacity_module.Capacity,
     ) -> messages.Job | None:
         tier = self.tiers[rank]
         job = tier.peek()
         if job is None:
             return None
-        if room.candidates(job):
+        if free_slots.candidates(job):
             return self._pop(tier)
         if not capacity.has_free():
             return None
-        return self._pass_over(tier, room)
+        return self._take_past_blocked(tier, free_slots)
 
-    def _pass_over(
-        self, tier: fairness.FairQueue, room: base.Room
+    def _take_past_blocked(
+        self, tier: fairness.FairQueue, free_slots: base.Room
     ) -> messages.Job | None:
-        """Looks behind jobs that none of the free slots suits.
+        """Returns the first job behind those that fit no free slot, or None.
 
         A job that may only run alone waits for an empty endpoint. Without
-        this everybody behind it would wait beside free slots.
+        this all jobs behind it would wait although slots are free.
         """
-        passed = []
+        skipped = []
         found = None
-        while len(passed) < PASSED_OVER and len(tier):
+        while len(skipped) < MAX_SKIPPED and len(tier):
             job = tier.peek()
             if job is None:
                 break
-            if room.candidates(job):
+            if free_slots.candidates(job):
                 found = self._pop(tier)
                 break
-            passed.append(tier.hide())
-        for entry in passed:
+            skipped.append(tier.hide())
+        for entry in skipped:
             if entry is not None:
                 tier.restore(entry)
         return found
@@ -164,13 +168,13 @@
 
     # -- reserved shares ---------------------------------------------------
 
-    def _owed(
+    def _owed_tiers(
         self,
         waiting: list[int],
         reserved: dict[int, float],
         held: abc.Mapping[int, int],
     ) -> list[int]:
-        """Returns the lower tiers that are owed a slot, the first one first."""
+        """Returns the lower tiers that are owed a slot, most credit first."""
         lower = waiting[1:]
         allowed = math.ceil(sum(reserved.get(rank, 0.0) for rank in lower))
         if sum(held.get(rank, 0) for rank in lower) >= allowed:
@@ -183,49 +187,49 @@
         ]
         return sorted(owed, key=lambda rank: -self._credit_s[rank])
 
-    def _remember(
+    def _save_contention(
         self, held: abc.Mapping[int, int], taken: messages.Job | None
     ) -> None:
-        """Keeps what holds until the next look."""
+        """Saves the state from which credits accrue until the next call."""
         self._contended = tuple(self.waiting()[1:])
         self._held = {rank: held.get(rank, 0) for rank in self._contended}
         if taken is not None and taken.rank in self._held:
             self._held[taken.rank] += 1
 
-    def _advance(self, reserved: dict[int, float], now_s: float) -> None:
-        """Carries the credits on over the time since the last look."""
-        past_s = now_s - self._seen_s
+    def _accrue_credits(self, reserved: dict[int, float], now_s: float) -> None:
+        """Accrues credits over the time since the last call."""
+        elapsed_s = now_s - self._seen_s
         self._seen_s = now_s
         for rank in self._contended:
             slots = reserved.get(rank, 0.0)
             used = min(self._held.get(rank, 0), math.ceil(slots))
-            credit_s = self._credit_s[rank] + (slots - used) * past_s
+            credit_s = self._credit_s[rank] + (slots - used) * elapsed_s
             credit_s = min(credit_s, slots * CREDIT_S)
             self._credit_s[rank] = max(credit_s, -slots * DEBT_S)
 
 
-def _keeps_free(
+def _is_headroom(
     capacity: capacity_module.Capacity, rank: int, now_s: float
 ) -> bool:
-    """Tells whether the free slots are kept for higher tiers."""
-    kept = math.floor(capacity.slots * HEADROOM_SHARE)
-    if not kept or capacity.use_above(rank, now_s) < HEADROOM_USE:
+    """Returns whether the free slots are reserved for higher tiers."""
+    headroom = math.floor(capacity.slots * HEADROOM_SHARE)
+    if not headroom or capacity.use_above(rank, now_s) < HEADROOM_USE:
         return False
-    return capacity.free() <= kept
+    return capacity.free() <= headroom
 
 
 @registry.plugin("queue", "tiered")
 class TieredQueue(base.Queue):
-    """Strict by tier with reserved shares; fair and by deadline within."""
+    """Strict priority by tier with reserved shares; fair within a tier."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
         self._services: dict[ids.ServiceId, _ServiceQueue] = {}
-        self._where: dict[ids.RequestId, messages.Job] = {}
+        self._jobs: dict[ids.RequestId, messages.Job] = {}
         self._shares = self._read_shares(context.document)
 
     def configure(self, document: schema.Document) -> None:
-        """Takes newer shares and weights."""
+        """Applies the shares and weights of a newer document."""
         super().configure(document)
         self._shares = self._read_shares(document)
 
@@ -244,34 +248,34 @@
         weight = workspace.weight if workspace else 1.0
         queue.tier(job.rank).push(job, weight)
         queue.counts[job.rank][job.class_id] += 1
-        self._where[job.request_id] = job
+        self._jobs[job.request_id] = job
 
     def remove(self, request_id: ids.RequestId) -> messages.Job | None:
-        """Takes a job out."""
-        job = self._where.pop(request_id, None)
+        """Removes a job without serving it."""
+        job = self._jobs.pop(request_id, None)
         if job is not None:
             queue = self._services[job.service]
             queue.tiers[job.rank].remove(request_id)
             queue.counts[job.rank][job.class_id] -= 1
         return job
 
-    def take(self, room: base.Room, now_s: float) -> messages.Job | None:
-        """Takes the next job; looks only at services where something is new."""
-        services = room.services()
+    def take(self, free_slots: base.Room, now_s: float) -> messages.Job | None:
+        """Removes the next job; considers only services with changes."""
+        services = free_slots.services()
         for service in self._services if services is None else services:
             queue = self._services.get(service)
             if queue is None:
                 continue
-            capacity = room.capacity(service)
-            job = queue.take(room, capacity, self._shares, now_s)
+            capacity = free_slots.capacity(service)
+            job = queue.take(free_slots, capacity, self._shares, now_s)
             if job is not None:
-                del self._where[job.request_id]
+                del self._jobs[job.request_id]
                 return job
         return None
 
     def jobs(self) -> abc.Iterable[messages.Job]:
         """Iterates in order of arrival."""
-        return self._where.values()
+        return self._jobs.values()
 
     def jobs_ahead(self, job: messages.Job) -> int:
         """Counts higher tiers' jobs and those before it in its own."""
@@ -287,7 +291,7 @@
     def work_ahead_s(
         self, job: messages.Job, capacity: capacity_module.Capacity
     ) -> float:
-        """Returns the slot-seconds of higher tiers and of those before it."""
+        """Returns the slot-seconds of higher tiers and of earlier jobs."""
         queue = self._services.get(job.service)
         if queue is None:
             return 0.0
@@ -324,15 +328,15 @@
         return queue.waiting() if queue else ()
 
     def leaders(self, service: ids.ServiceId) -> abc.Iterable[messages.Job]:
-        """Returns some jobs of the highest waiting tier."""
+        """Returns the first jobs of the highest waiting tier."""
         queue = self._services.get(service)
         waiting = queue.waiting() if queue else []
         if not waiting:
             return ()
-        return queue.tiers[waiting[0]].heads(LEADERS)
+        return queue.tiers[waiting[0]].heads(MAX_HEAD_JOBS)
 
     def evict(self, job: messages.Job) -> messages.Job | None:
-        """Takes out the last job of the lowest tier's longest line."""
+        """Removes the last job of the largest workspace of the lowest tier."""
         lowest = None
         for queue in self._services.values():
             ranks = queue.waiting()
@@ -344,11 +348,11 @@
         return self.remove(last.request_id) if last else None
 
     def settle(self, job: messages.Job, tokens: int) -> None:
-        """Charges a workspace for the part that the estimate missed."""
+        """Charges a workspace for the error of the length estimate."""
         queue = self._services.get(job.service)
         if queue is not None and job.rank in queue.tiers:
             queue.tiers[job.rank].settle(job, tokens)
 
     def __len__(self) -> int:
         """Counts the queued jobs."""
-        return len(self._where)
+        return len(self._jobs)
