--- a/cardamombarrow/decisions/baselines.py
+++ b/cardamombarrow/decisions/baselines.py
@@ -1,4 +1,4 @@
-"""The plainest policy of each slot: what ours are measured against."""
+"""Baseline policies, against which the others are measured."""
 
 import collections
 from collections import abc
@@ -30,7 +30,7 @@
 
 @registry.plugin("queue", "fifo")
 class FifoQueue(base.Queue):
-    """Serves in order of arrival, whatever the tier."""
+    """Serves in order of arrival, regardless of the tier."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -45,19 +45,19 @@
         self._by_service[job.service] += 1
 
     def remove(self, request_id: ids.RequestId) -> messages.Job | None:
-        """Takes a job out."""
+        """Removes a job without serving it."""
         job = self._jobs.pop(request_id, None)
         if job is not None:
             self._by_service[job.service] -= 1
         return job
 
-    def take(self, room: base.Room, now_s: float) -> messages.Job | None:
-        """Takes the oldest job; while it has no room nobody overtakes it."""
+    def take(self, free_slots: base.Room, now_s: float) -> messages.Job | None:
+        """Removes the oldest job; without a free slot it blocks later ones."""
         blocked = set()
         for job in self._jobs.values():
             if job.service in blocked:
                 continue
-            if room.candidates(job):
+            if free_slots.candidates(job):
                 return self.remove(job.request_id)
             blocked.add(job.service)
         return None
@@ -84,13 +84,13 @@
     ) -> str | None:
         """Refuses at `QUEUE_BOUND_JOBS`."""
         if backlog.jobs_ahead >= QUEUE_BOUND_JOBS:
-            return f"{backlog.jobs_ahead} requests wait already"
+            return f"{backlog.jobs_ahead} requests are already waiting"
         return None
 
 
 @registry.plugin("limits", "fixed")
 class FixedLimits(base.Limits):
-    """The document's slots, whatever the endpoint shows."""
+    """The document's slots, regardless of load."""
 
     def limit(self, state: endpoint_module.EndpointState, now_s: float) -> int:
         """Returns the configured slots."""
@@ -99,7 +99,7 @@
 
 @registry.plugin("choice", "round-robin")
 class RoundRobinChoice(base.Choice):
-    """Each endpoint in turn."""
+    """Selects each endpoint in turn."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -135,7 +135,7 @@
 
 @registry.plugin("retry", "immediate")
 class ImmediateRetry(base.Retry):
-    """Two retries at once, and a fixed time to come back."""
+    """Up to two immediate retries, and a fixed retry-after time."""
 
     def may_retry(
         self,
@@ -143,7 +143,7 @@
         outcome: messages.Outcome,
         now_s: float,
     ) -> bool:
-        """Allows `IMMEDIATE_RETRIES`, where running twice is allowed."""
+        """Allows `IMMEDIATE_RETRIES` retries if the job may run twice."""
         allowed = outcome.not_run or job.repeatable
         return allowed and job.attempts <= IMMEDIATE_RETRIES
 
@@ -154,7 +154,7 @@
 
 @registry.plugin("quarantine", "none")
 class NoQuarantine(base.Quarantine):
-    """Lets every request run again."""
+    """Never blocks a request."""
 
     def refuse(self, job: messages.Job, now_s: float) -> str | None:
         """Refuses nothing."""
@@ -166,7 +166,7 @@
         suspects: list[messages.Job],
         now_s: float,
     ) -> None:
-        """Learns nothing."""
+        """Ignores the crash."""
 
 
 @registry.plugin("spill", "never")
@@ -188,7 +188,7 @@
 
 @registry.plugin("preemption", "never")
 class NeverPreempt(base.PreemptionPolicy):
-    """Lets every running request finish."""
+    """Never preempts a request."""
 
     def victim(
         self,
@@ -202,7 +202,7 @@
 
 @registry.plugin("estimate", "mean")
 class MeanEstimate(base.Estimate):
-    """The class's running mean, starting from the document's guess."""
+    """The running mean of the class, starting at the document's value."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
--- a/cardamombarrow/decisions/failures.py
+++ b/cardamombarrow/decisions/failures.py
@@ -1,16 +1,17 @@
-"""Which endpoints failed of late, and which get probes only.
+"""Failure rates of endpoints, and probation of failing ones.
 
-Load pattern answered: an endpoint that fails every request within
-milliseconds. It always has free slots, so under load it is often the only
-candidate and would get each waiting job in turn, and fail it.
+Load pattern: an endpoint that fails every request within milliseconds. It
+always has free slots, so under load it is often the only candidate, and would
+get and fail each waiting job in turn.
 
-After `TO_PROBATION` failures in a row an endpoint gets one request per probe.
-A failure that the endpoint itself has answered may lie in the request: it
-counts against the endpoint, but does not put it on probation.
+After `TO_PROBATION` consecutive failures an endpoint gets one request per probe
+interval (similar to a half-open circuit breaker). A failure that the endpoint
+itself has answered may be caused by the request: it counts against the
+endpoint, but not towards probation.
 
-Five requests make two thirds of the share of failures; it fades with the
-half-life of all that is observed. Probes begin as soon as a restart may have
-ended and back off to what callers wait for at most.
+The last five requests make up two thirds of the failure share, which decays
+with the half-life of all observations. Probes begin as soon as a restart may
+have ended and back off to the longest time that callers wait.
 """
 
 import dataclasses
@@ -27,23 +28,23 @@
 ]
 
 WEIGHT = 0.2
-"""Weight of one request in the share of failures."""
+"""Weight of one request in the failure share."""
 
 HALF_LIFE_S = 10.0
-"""Time after which half of the share is forgotten."""
+"""Half-life of the failure share."""
 
 TO_PROBATION = 2
-"""Failures in a row after which an endpoint gets probes only."""
+"""Consecutive failures after which an endpoint gets probes only."""
 
 FIRST_PROBE_S = 0.5
-MOST_PROBE_S = 8.0
-"""Time to the first probe, doubled after each failed one up to the second."""
+MAX_PROBE_S = 8.0
+"""Time to the first probe, doubled after each failed one, and its maximum."""
 
-KEPT = 1_024
-"""Endpoints remembered; each start of an endpoint may be another one."""
+MAX_RECORDS = 1_024
+"""Maximum number of records; an endpoint may have a new id at each start."""
 
 PENALTY = 10.0
-"""How many times slower an endpoint counts that fails every request."""
+"""Slowdown, less 1, assumed for an endpoint that fails every request."""
 
 FAILURES = frozenset(
     (
@@ -54,100 +55,100 @@
         messages.Outcome.STALLED,
     )
 )
-"""Outcomes that speak against the endpoint."""
+"""Outcomes that count as failures of the endpoint."""
 
 UNSEEN = frozenset(
     (messages.Outcome.NOT_STARTED, messages.Outcome.REFUSED_BY_ENDPOINT)
 )
-"""Outcomes after which the endpoint has seen nothing of the request."""
+"""Outcomes after which the endpoint has not received the request."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Record:
-    """What one endpoint's requests have shown.
+class _FailureRecord:
+    """The recent failures of one endpoint.
 
     Attributes:
         share: Share of the latest requests that failed, at `seen_at_s`.
-        in_a_row: Failures since the last success.
+        consecutive: Consecutive failures since the last success.
         probe_at_s: On probation, when it may get its next request.
     """
 
     seen_at_s: float
     share: float = 0.0
-    in_a_row: int = 0
+    consecutive: int = 0
     probe_at_s: float = 0.0
 
     @property
     def on_probation(self) -> bool:
-        return self.in_a_row >= TO_PROBATION
+        return self.consecutive >= TO_PROBATION
 
-    def fade(self, now_s: float) -> float:
-        past_s = now_s - self.seen_at_s
-        return self.share * 0.5 ** (past_s / HALF_LIFE_S)
+    def decayed_share(self, now_s: float) -> float:
+        elapsed_s = now_s - self.seen_at_s
+        return self.share * 0.5 ** (elapsed_s / HALF_LIFE_S)
 
 
 class Failures:
-    """Failures by endpoint."""
+    """Records failures by endpoint."""
 
     def __init__(self):
-        self._records: dict[ids.EndpointId, _Record] = {}
+        self._records: dict[ids.EndpointId, _FailureRecord] = {}
 
     def share(self, endpoint: ids.EndpointId, now_s: float) -> float:
         """Returns the share of an endpoint's latest requests that failed."""
         record = self._records.get(endpoint)
-        return 0.0 if record is None else record.fade(now_s)
+        return 0.0 if record is None else record.decayed_share(now_s)
 
     def slowdown(self, endpoint: ids.EndpointId, now_s: float) -> float:
-        """Returns how many times slower an endpoint counts."""
+        """Returns the factor by which an endpoint is assumed to be slower."""
         return 1.0 + PENALTY * self.share(endpoint, now_s)
 
     def is_sound(self, endpoint: ids.EndpointId) -> bool:
-        """Tells whether an endpoint's last request did not fail."""
+        """Returns whether an endpoint has had no failure since a success."""
         record = self._records.get(endpoint)
-        return record is None or not record.in_a_row
+        return record is None or not record.consecutive
 
     def is_on_probation(self, endpoint: ids.EndpointId) -> bool:
-        """Tells whether an endpoint gets probes only."""
+        """Returns whether an endpoint gets probes only."""
         record = self._records.get(endpoint)
         return record is not None and record.on_probation
 
     def is_probe_due(self, endpoint: ids.EndpointId, now_s: float) -> bool:
-        """Tells whether an endpoint on probation may get a request."""
+        """Returns whether an endpoint on probation may get a request."""
         return now_s >= self._records[endpoint].probe_at_s
 
     def probed(self, endpoint: ids.EndpointId, now_s: float) -> None:
-        """Learns that an endpoint on probation gets a request now."""
+        """Records a probe and sets the time of the next one."""
         record = self._records[endpoint]
-        doublings = min(record.in_a_row - TO_PROBATION, 10)
-        wait_s = min(FIRST_PROBE_S * 2**doublings, MOST_PROBE_S)
+        doublings = min(record.consecutive - TO_PROBATION, 10)
+        wait_s = min(FIRST_PROBE_S * 2**doublings, MAX_PROBE_S)
         record.probe_at_s = now_s + wait_s
 
     def succeeded(self, endpoint: ids.EndpointId, now_s: float) -> None:
-        """Learns that a request went well."""
-        record = self._at(endpoint, now_s)
-        record.in_a_row = 0
+        """Records a successful request."""
+        record = self._record(endpoint, now_s)
+        record.consecutive = 0
         record.share *= 1.0 - WEIGHT
 
     def failed(
         self, endpoint: ids.EndpointId, now_s: float, *, breaks: bool = True
     ) -> None:
-        """Learns that a request failed.
+        """Records a failed request.
 
         Args:
-            endpoint: Where.
-            now_s: When.
-            breaks: Whether it counts for the probation.
+            endpoint: The endpoint.
+            now_s: The time.
+            breaks: Whether it counts towards probation.
         """
-        record = self._at(endpoint, now_s)
-        record.in_a_row += breaks
+        record = self._record(endpoint, now_s)
+        record.consecutive += breaks
         record.share += WEIGHT * (1.0 - record.share)
-        if breaks and record.in_a_row == TO_PROBATION:
+        if breaks and record.consecutive == TO_PROBATION:
             record.probe_at_s = now_s + FIRST_PROBE_S
 
-    def _at(self, endpoint: ids.EndpointId, now_s: float) -> _Record:
-        record = self._records.setdefault(endpoint, _Record(now_s))
-        if len(self._records) > KEPT:
+    def _record(self, endpoint: ids.EndpointId, now_s: float) -> _FailureRecord:
+        record = self._records.setdefault(endpoint, _FailureRecord(now_s))
+        if len(self._records) > MAX_RECORDS:
             del self._records[next(iter(self._records))]
-        record.share = record.fade(now_s)
+        record.share = record.decayed_share(now_s)
         record.seen_at_s = now_s
         return record
--- a/cardamombarrow/decisions/fleet.py
+++ b/cardamombarrow/decisions/fleet.py
@@ -1,19 +1,18 @@
-"""One instance's part of bounds that all instances keep together.
-
-Load pattern answered: seven or eighty instances that each know a bound over
-all of them, on connections to an endpoint or on what is sent again, and that
-can't always hear one another. Where each keeps to the whole bound, the sum is
-as many times too high, and the endpoint resets connections with requests on
-them.
-
-An instance takes one part in as many as there are instances. A count that
-falls because others are out of reach must not raise the part, for they go on
-with theirs: what was heard falls by a hundredth with each count that is
-heard, once a second. While nothing is heard it stays.
-
-`MARGIN` of a bound is used, because what an instance counts is not to the
-millisecond what an observer counts. `GUESSED_INSTANCES` is somewhat more than a
-small deployment has.
+"""One instance's part of bounds over all instances.
+
+Load pattern: seven or eighty instances share a bound, on connections to an
+endpoint or on retries, and can't always reach each other. If each used the
+whole bound, the sum would be as many times too high, and the endpoint would
+reset connections with requests on them.
+
+An instance uses the bound divided by the number of instances. A count that
+falls because other instances are unreachable must not raise the part, since
+they go on using theirs: the assumed number falls by at most a hundredth with
+each received count, once a second. Without new counts it stays.
+
+Only `MARGIN` of a bound is used, because the counts of an instance differ by
+milliseconds from those of an observer. `GUESSED_INSTANCES` is somewhat more
+than a small deployment has.
 """
 
 import math
@@ -21,37 +20,37 @@
 __all__ = ["FleetPart"]
 
 MARGIN = 0.8
-"""Part of a bound over all instances that is used."""
+"""Share of a bound over all instances that is used."""
 
 GUESSED_INSTANCES = 10.0
-"""Instances that share a bound, until a count was heard."""
+"""Number of instances assumed until the first count is received."""
 
 INSTANCES_DECAY = 0.99
-"""What is left of a count with each lower one; a tenth is gone in ten."""
+"""Factor on the number at each lower count; ten counts lower it by a tenth."""
 
 
 class FleetPart:
-    """How many instances share a bound, and this one's part of it.
+    """Computes this instance's part of bounds over all instances.
 
-    An instance has one of these; whatever is bounded over all reads it.
+    Each instance has one object, shared by all users of such bounds.
     """
 
     def __init__(self):
         self._instances = GUESSED_INSTANCES
 
     def heard(self, count: int) -> None:
-        """Takes a count of instances, this one included."""
-        falling = max(self._instances * INSTANCES_DECAY, 1.0)
-        self._instances = max(float(count), falling)
+        """Updates the number of instances, this one included."""
+        lowest = max(self._instances * INSTANCES_DECAY, 1.0)
+        self._instances = max(float(count), lowest)
 
     def of(self, bound: float) -> float:
-        """Returns this instance's part of a bound, less the margin."""
+        """Returns this instance's part of a bound, within the margin."""
         return MARGIN * bound / self._instances
 
     def whole(self, bound: int) -> int:
-        """Returns the part in whole pieces, one at least.
+        """Returns the part as an integer, at least 1.
 
-        With more instances than pieces the sum is above the bound: none of
-        them may be without any.
+        With more instances than units the sum exceeds the bound, so that each
+        instance has at least one unit.
         """
         return max(math.floor(self.of(bound)), 1)
--- a/cardamombarrow/decisions/forecast.py
+++ b/cardamombarrow/decisions/forecast.py
@@ -1,16 +1,15 @@
-"""What stands before a job: the predicted wait, and who holds the slots.
-
-Load pattern: tiers with very different answers in one queue. A wait predicted
-from the length of the queue alone would count fifty letters before a chat
-message that overtakes them all, and would promise a letter the whole capacity
-that chat is using.
-
-The wait of a job is the work before it over the slots that its tier can
-count on: all slots, less those that higher tiers held of late, less what
-lower tiers with waiting work are owed, and never less than its own reserved
-share. While every slot is taken, the mean time until the next one is given
-back comes on top, or the time between two slots of its own tier where that is
-longer.
+"""Prediction of the wait of a job from the work ahead and the slots.
+
+Load pattern: tiers with very different answer lengths in one queue. A wait
+predicted from the length of the queue alone would count fifty letters ahead of
+a chat message that overtakes them all, and would assign to a letter the whole
+capacity that chat is using.
+
+The wait of a job is the work ahead of it divided by the slots available to its
+tier: all slots, less those that higher tiers used recently, less those that
+lower tiers with waiting jobs are owed, and never less than its own reserved
+share. While every slot is taken, the mean time until the next one is free is
+added, or the time between two slots of its own tier if that is longer.
 """
 
 import math
@@ -23,23 +22,23 @@
 
 __all__ = ["Forecast"]
 
-LEAST_SLOTS = 0.05
-"""Slots that a tier without a reserved share is reckoned to get."""
+MIN_SLOTS = 0.05
+"""Slots assumed for a tier without a reserved share."""
 
 
-class _Returning:
-    """Refused jobs of a tier that will come back, less those served since."""
+class _ReturningJobs:
+    """Refused jobs of a tier that will return, less those served since."""
 
     def __init__(self):
         self.jobs = 0.0
         self.seen_s = 0.0
         self.drain_per_s = 0.0
 
-    def at(self, now_s: float) -> float:
-        """Returns the jobs still to come back."""
-        past_s = max(now_s - self.seen_s, 0.0)
+    def update(self, now_s: float) -> float:
+        """Returns the number of jobs that are still to return."""
+        elapsed_s = max(now_s - self.seen_s, 0.0)
         self.seen_s = now_s
-        self.jobs = max(self.jobs - past_s * self.drain_per_s, 0.0)
+        self.jobs = max(self.jobs - elapsed_s * self.drain_per_s, 0.0)
         return self.jobs
 
 
@@ -48,7 +47,7 @@
 
     def __init__(self, policies: policies_module.Policies):
         self._policies = policies
-        self._returning: dict[tuple[ids.ServiceId, int], _Returning] = {}
+        self._returning: dict[tuple[ids.ServiceId, int], _ReturningJobs] = {}
 
     def backlog(
         self,
@@ -57,12 +56,12 @@
         limit_wait_s: float,
         now_s: float,
     ) -> messages.Backlog:
-        """Returns what stands before a job.
+        """Returns the work ahead of a job.
 
         Args:
             job: The job.
             capacity: This instance's slots of its service.
-            limit_wait_s: How long rate limits of endpoints hold it up.
+            limit_wait_s: Delay of the job by rate limits of endpoints.
             now_s: The time.
         """
         queue = self._policies.queue
@@ -77,11 +76,11 @@
             next_s = capacity.mean_hold_s() / max(capacity.slots, 1)
             wait_s += max(next_s, hold_s / slots)
         returning = self._returning.setdefault(
-            (job.service, job.rank), _Returning()
+            (job.service, job.rank), _ReturningJobs()
         )
-        back = returning.at(now_s)
-        # While the tier's slots are full nobody who comes back is served:
-        # counting them as served would send the next ones back too early.
+        returning_jobs = returning.update(now_s)
+        # While the tier's slots are full no returning job is served: counting
+        # them as served would make the next retry-after times too short.
         spare = max(slots - capacity.use_of(job.rank, now_s), 0.0)
         returning.drain_per_s = spare / max(hold_s, 1e-3)
         return messages.Backlog(
@@ -93,16 +92,16 @@
             first_token_s=capacity.first_token_s,
             tier_waiting=queue.tier_waiting(job),
             oldest_wait_s=queue.oldest_wait_s(job, now_s),
-            returning_s=back * hold_s / slots,
+            returning_s=returning_jobs * hold_s / slots,
             lower_over_reserve=self._lower_over_reserve(job, capacity),
         )
 
     def refused(self, job: messages.Job, now_s: float) -> None:
-        """Learns that a job was refused and told to come back."""
+        """Records a refused job, which is expected to return."""
         returning = self._returning.setdefault(
-            (job.service, job.rank), _Returning()
+            (job.service, job.rank), _ReturningJobs()
         )
-        returning.at(now_s)
+        returning.update(now_s)
         returning.jobs += 1.0
 
     def _tiers(self) -> list[schema.Tier]:
@@ -117,15 +116,15 @@
         slots = float(max(capacity.slots, 1))
         waiting = self._policies.queue.waiting_ranks(job.service)
         lower = 0.0
-        own = LEAST_SLOTS
+        own = MIN_SLOTS
         for tier in self._tiers():
             reserved = capacity_module.reserved_slots(tier, capacity.slots)
             if tier.rank == job.rank:
                 own = max(own, reserved)
             elif tier.rank > job.rank and tier.rank in waiting:
                 lower += reserved
-        left = slots - lower - capacity.use_above(job.rank, now_s)
-        return max(own, left)
+        available = slots - lower - capacity.use_above(job.rank, now_s)
+        return max(own, available)
 
     def _lower_over_reserve(
         self, job: messages.Job, capacity: capacity_module.Capacity
--- a/cardamombarrow/decisions/policies.py
+++ b/cardamombarrow/decisions/policies.py
@@ -1,4 +1,4 @@
-"""One policy object per slot, as the document names them."""
+"""The policy objects that the document selects, one for each kind."""
 
 import dataclasses
 
@@ -27,7 +27,7 @@
 
 
 class Policies:
-    """The policies in force; one is rebuilt when its name changes."""
+    """The policies in force; a policy is rebuilt when its name changes."""
 
     queue: base.Queue
     admission: base.Admission
@@ -46,22 +46,22 @@
         for field in dataclasses.fields(schema.Policies):
             self._build(field.name, context)
 
-    def _build(self, slot: str, context: context_module.PolicyContext) -> None:
-        cls = registry.lookup(slot, getattr(context.document.policies, slot))
-        setattr(self, slot, cls(context))
+    def _build(self, kind: str, context: context_module.PolicyContext) -> None:
+        cls = registry.lookup(kind, getattr(context.document.policies, kind))
+        setattr(self, kind, cls(context))
 
     def configure(
         self, context: context_module.PolicyContext, now_s: float
     ) -> None:
-        """Takes a newer document; a renamed policy starts afresh."""
+        """Applies a newer document; a policy with a new name is rebuilt."""
         new = context.document.policies
         for field in dataclasses.fields(schema.Policies):
-            slot = field.name
-            if getattr(new, slot) == getattr(self._names, slot):
-                getattr(self, slot).configure(context.document)
+            kind = field.name
+            if getattr(new, kind) == getattr(self._names, kind):
+                getattr(self, kind).configure(context.document)
                 continue
-            waiting = list(self.queue.jobs()) if slot == "queue" else []
-            self._build(slot, context)
+            waiting = list(self.queue.jobs()) if kind == "queue" else []
+            self._build(kind, context)
             for job in waiting:
                 self.queue.push(job, now_s)
         self._names = new
--- a/cardamombarrow/decisions/quarantine.py
+++ b/cardamombarrow/decisions/quarantine.py
@@ -1,17 +1,16 @@
-"""Keeps a request that crashes endpoints from the endpoints that are left.
+"""Quarantine of requests that crash endpoints.
 
-Load pattern answered: one request ends the process of each engine that runs
-it, and its caller sends it again, through any entry. Without this module one
-caller takes down every engine of a domain, over and over, and with each the
-requests of everybody else on it.
+Load pattern: one request crashes each engine that runs it, and its caller
+resends it through any entry. Without this module one caller repeatedly takes
+down every engine of a domain, together with the other requests on it.
 
-All requests on an engine that dies are suspects, most of them innocent. A
-suspect runs alone from then on (`solo`): if it ends, it is cleared; if the
-engine dies again while it is the only one of this instance on it, it is
-quarantined for a time and the mark spreads by gossip. A second crash in
-company condemns nobody.
+All requests on an engine that crashes are suspects, most of them harmless. A
+suspect runs alone from then on (`solo`): if it completes, it is cleared; if the
+engine crashes again while it is the only request of this instance on it, its
+fingerprint is quarantined for a time and spread by gossip. A second crash with
+other requests on the engine quarantines none of them.
 
-The quarantine outlasts a caller's resends, and is short enough that a mended
+The quarantine outlasts a caller's resends, and is short enough that a fixed
 engine serves the same body again. The tables are bounded and drop the oldest.
 """
 
@@ -33,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Suspect:
-    """Crashes that a fingerprint was in flight at."""
+    """Crashes during which a fingerprint was in flight."""
 
     crashes: int
     seen_at_s: float
@@ -41,7 +40,7 @@
 
 @registry.plugin("quarantine", "crashes")
 class CrashQuarantine(base.Quarantine):
-    """Two crashes, the second one alone, quarantine a fingerprint."""
+    """Quarantines a fingerprint after two crashes, the second one alone."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -60,7 +59,7 @@
         return f"it crashed endpoints; quarantined for {left_s:.0f} s more"
 
     def solo(self, job: messages.Job, now_s: float) -> bool:
-        """Tells whether a job is a suspect."""
+        """Returns whether a job is a suspect."""
         return bool(self._suspects) and self._is_suspect(job, now_s)
 
     def _is_suspect(self, job: messages.Job, now_s: float) -> bool:
@@ -78,7 +77,7 @@
         suspects: list[messages.Job],
         now_s: float,
     ) -> None:
-        """Suspects all that ran there; condemns a suspect that ran alone."""
+        """Marks all jobs as suspects; quarantines a suspect that ran alone."""
         for job in suspects:
             if job.fingerprint is None:
                 continue
@@ -86,12 +85,12 @@
             crashes = 1 if known is None else known.crashes + 1
             alone = len(suspects) == 1
             if alone and crashes >= CRASHES_TO_QUARANTINE:
-                self._condemn(job.fingerprint, now_s + QUARANTINE_S)
+                self._quarantine(job.fingerprint, now_s + QUARANTINE_S)
                 continue
             self._suspects[job.fingerprint] = _Suspect(crashes, now_s)
             _drop_oldest(self._suspects)
 
-    def _condemn(self, fingerprint: ids.Fingerprint, until_s: float) -> None:
+    def _quarantine(self, fingerprint: ids.Fingerprint, until_s: float) -> None:
         self._suspects.pop(fingerprint, None)
         longest_s = max(until_s, self._until_s.pop(fingerprint, until_s))
         self._until_s[fingerprint] = longest_s
@@ -100,12 +99,12 @@
     def on_finish(
         self, job: messages.Job, outcome: messages.Outcome, now_s: float
     ) -> None:
-        """Clears a suspect whose answer came whole."""
+        """Clears a suspect whose answer completed."""
         if outcome is messages.Outcome.DONE:
             self._suspects.pop(job.fingerprint, None)
 
     def marks(self, now_s: float) -> dict[ids.Fingerprint, float]:
-        """Returns quarantined fingerprints and seconds left, for gossip."""
+        """Returns quarantined fingerprints and their remaining seconds."""
         return {
             fingerprint: until_s - now_s
             for fingerprint, until_s in self._until_s.items()
@@ -113,11 +112,11 @@
         }
 
     def merge(self, marks: dict[ids.Fingerprint, float], now_s: float) -> None:
-        """Takes fingerprints that another instance quarantined."""
+        """Adds fingerprints that another instance quarantined."""
         for fingerprint, left_s in marks.items():
             if left_s > 0.0:
                 until_s = now_s + min(left_s, QUARANTINE_S)
-                self._condemn(fingerprint, until_s)
+                self._quarantine(fingerprint, until_s)
 
 
 def _drop_oldest(table: dict) -> None:
--- a/cardamombarrow/decisions/retry.py
+++ b/cardamombarrow/decisions/retry.py
@@ -1,29 +1,27 @@
-"""When a failed request runs again, and when a refused caller comes back.
-
-Load patterns: an endpoint that fails whatever it is given, and a wave of
-refusals. With immediate retries the first turns each request into three, at
-the very moment when capacity is short; with a fixed time to come back the
-second returns as one wave, is refused, and returns again.
-
-A failed request runs again only where it certainly did not run, or where it
-may run twice and nothing of its answer was delivered (the caller of
-`may_retry` has seen to the latter); at most `ATTEMPTS` times; and only out of
-a budget per class, into which each success pays `BUDGET_SHARE` of a retry.
-Waits before a retry are drawn evenly from zero to a bound that doubles ("full
-jitter", M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog,
-2015). A run that was preempted is no failure: it goes back without delay and
-without cost to the budget.
-
-A refused caller is told to come back when the work before it, and the work of
-those of its tier who were refused before it, will have been served; times are
-spread evenly over `SPREAD` around that, so that callers refused together do
-not return together.
+"""Retries of failed requests, and retry-after times of refused ones.
+
+Load patterns: an endpoint that fails every request, and a wave of refusals.
+With immediate retries the first turns each request into three, just when
+capacity is short; with a fixed retry-after time the second returns as one
+wave, is refused, and returns again.
+
+A failed request is retried only if it certainly did not run, or if it may run
+twice and nothing of its answer was delivered (the caller of `may_retry` checks
+the latter); at most `ATTEMPTS` times; and only within a budget per class, to
+which each success adds `BUDGET_SHARE` of a retry. Delays before a retry are
+drawn uniformly from zero to a bound that doubles ("full jitter", M. Brooker,
+"Exponential Backoff And Jitter", AWS Architecture Blog, 2015). A preempted run
+is not a failure: it is queued again without delay and without using the budget.
+
+The retry-after time of a refused caller is the time to serve the work ahead of
+it and the work of its tier that was refused before; it is varied uniformly by
+`SPREAD`, so that callers refused together do not return together.
 
 A share of 0.1 bounds the added load at a tenth, the figure that "Addressing
 Cascading Failures" in Google's "Site Reliability Engineering" (2016) gives for
-its client-side retry budget. `BUDGET_START` lets a class retry before it has
-had a success. The first backoff is about the time that a failing endpoint needs
-to lose its weight in the choice.
+its client-side retry budget. `BUDGET_START` lets a class retry before its first
+success. The first backoff is about the time after which a failing endpoint is
+rarely chosen.
 """
 
 import collections
@@ -45,7 +43,7 @@
 BACKOFF_MAX_S = 2.0
 
 RETRY_AFTER_MIN_S = 1.0
-"""Least time to come back: an earlier return finds the same queue."""
+"""Minimum retry-after: an earlier return finds the same queue."""
 
 RETRY_AFTER_MAX_S = 120.0
 SPREAD = (0.7, 1.3)
@@ -53,7 +51,7 @@
 
 @registry.plugin("retry", "budget")
 class BudgetRetry(base.Retry):
-    """Retries out of a budget; spreads the returns of refused callers."""
+    """Retries within a budget per class, with jittered retry-after times."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -77,7 +75,7 @@
         return job.attempts < ATTEMPTS and self._spend(job, now_s)
 
     def _spend(self, job: messages.Job, now_s: float) -> bool:
-        """Takes a retry out of the budget; False where it is empty."""
+        """Takes a retry from the budget; returns False if it is empty."""
         budget = self._budget.get(job.class_id, BUDGET_START)
         if budget < 1.0:
             return False
@@ -85,49 +83,49 @@
         return True
 
     def delay_s(self, job: messages.Job, outcome: messages.Outcome) -> float:
-        """Returns a wait drawn from zero to the bound of this attempt."""
+        """Returns a random delay up to the bound of this attempt."""
         if outcome is messages.Outcome.PREEMPTED:
             return 0.0
         bound_s = BACKOFF_FIRST_S * 2 ** max(job.attempts - 1, 0)
         return self.context.rng.uniform(0.0, min(bound_s, BACKOFF_MAX_S))
 
     def retry_after_s(self, backlog: messages.Backlog) -> float:
-        """Returns when what stands before the caller should be done."""
+        """Returns when the work ahead of the caller should be done."""
         ready_s = backlog.predicted_wait_s + backlog.returning_s
         ready_s = min(max(ready_s, RETRY_AFTER_MIN_S), RETRY_AFTER_MAX_S)
         return ready_s * self.context.rng.uniform(*SPREAD)
 
     def on_finish(self, job: messages.Job, outcome: messages.Outcome) -> None:
-        """Pays a success into the budget of its class."""
+        """Adds a success to the budget of its class."""
         if outcome is messages.Outcome.DONE:
             budget = self._budget.get(job.class_id, BUDGET_START)
             self._budget[job.class_id] = min(budget + BUDGET_SHARE, BUDGET_MAX)
 
 
 class _Window:
-    """Arrivals and retries of one service within the last seconds."""
+    """Arrivals and retries of one service within a sliding window."""
 
     def __init__(self, window_s: float):
         self._window_s = window_s
         self._arrivals: collections.deque[float] = collections.deque()
         self._retries: collections.deque[float] = collections.deque()
 
-    def arrived(self, now_s: float) -> None:
+    def record_arrival(self, now_s: float) -> None:
         self._arrivals.append(now_s)
-        self._forget(now_s)
+        self._expire(now_s)
 
-    def has_room(self, share: float, slack: float, now_s: float) -> bool:
-        self._forget(now_s)
+    def allows(self, share: float, slack: float, now_s: float) -> bool:
+        self._expire(now_s)
         allowed = share * len(self._arrivals) + slack
         return len(self._retries) + 1 <= allowed
 
     def spend(self, share: float, slack: float, now_s: float) -> bool:
-        if not self.has_room(share, slack, now_s):
+        if not self.allows(share, slack, now_s):
             return False
         self._retries.append(now_s)
         return True
 
-    def _forget(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         for times in (self._arrivals, self._retries):
             while times and times[0] <= now_s - self._window_s:
                 times.popleft()
@@ -135,14 +133,14 @@
 
 @registry.plugin("retry", "window")
 class WindowRetry(BudgetRetry):
-    """Retries within a bound that all instances keep together.
+    """Retries within a bound over all instances.
 
     Load pattern: every endpoint of a service fails part of its requests, and
-    seven or eighty instances each spend a budget of their own; what was meant
-    as a tenth more load is as much again. Each instance takes its part of the
-    bound: the share of its own requests, and of the slack one part in as many
-    as there are instances. The parts add up to the bound, also while the
-    instances can't hear one another; see `fleet`.
+    seven or eighty instances each spend a budget of their own; instead of a
+    tenth, the added load is as much again. Each instance takes its part of the
+    bound: the share of its own requests, and the slack divided by the number
+    of instances. The parts add up to the bound, even while the instances are
+    partitioned; see `fleet`.
     """
 
     def __init__(self, context: context_module.PolicyContext):
@@ -153,7 +151,7 @@
         return self._window(job).spend(*self._part(), now_s)
 
     def _part(self) -> tuple[float, float]:
-        """Returns the share and the slack that are this instance's own."""
+        """Returns this instance's part of the share and the slack."""
         bounds = self.context.retries
         return (
             fleet.MARGIN * bounds.share,
@@ -161,27 +159,27 @@
         )
 
     def delay_s(self, job: messages.Job, outcome: messages.Outcome) -> float:
-        """Returns no wait for the first retry, and backs off later ones.
+        """Returns no delay for the first retry, and a backoff for later ones.
 
-        The bound keeps the load of retries small whenever they come, and the
-        endpoint that failed is tried last. A call whose target is a quarter
-        of a second would spend a fifth of it waiting.
+        The bound limits the load of retries in any case, and the endpoint that
+        failed is tried last. A call whose target is a quarter of a second
+        would spend a fifth of it on the delay.
         """
         if job.attempts <= 1:
             return 0.0
         return super().delay_s(job, outcome)
 
     def may_redo(self, job: messages.Job, now_s: float) -> bool:
-        """Tells whether a run that is given up now could be run again."""
+        """Returns whether a run that is cancelled now could be retried."""
         if not job.repeatable or job.attempts >= ATTEMPTS:
             return False
         if job.max_runs and job.runs + 1 >= job.max_runs:
             return False
-        return self._window(job).has_room(*self._part(), now_s)
+        return self._window(job).allows(*self._part(), now_s)
 
     def on_arrival(self, job: messages.Job, now_s: float) -> None:
-        """Counts a request into its service's window."""
-        self._window(job).arrived(now_s)
+        """Adds a request to the window of its service."""
+        self._window(job).record_arrival(now_s)
 
     def _window(self, job: messages.Job) -> _Window:
         window = self._windows.get(job.service)
--- a/cardamombarrow/decisions/scaling.py
+++ b/cardamombarrow/decisions/scaling.py
@@ -1,14 +1,14 @@
-"""How many endpoints a service needs in each failure domain.
+"""Autoscaling: the number of endpoints of a service per failure domain.
 
-Load pattern: the work swells and ebbs within seconds, bursts come faster than
-an endpoint starts, and a cheap endpoint may be reclaimed together with all
-cheap ones of its domain. Without this module a service keeps the endpoints it
-was set up with: too many of the dear kind in calm, too few in a burst.
+Load pattern: demand rises and falls within seconds, bursts are faster than the
+start of an endpoint, and a spot endpoint may be reclaimed together with all
+spot endpoints of its domain. Without this module a service has a fixed number
+of endpoints: too many expensive ones at low load, too few in a burst.
 
-Reading prompts is what endpoints run short of first; places come second. The
-number follows the greater of both over some seconds back, at a utilisation at
-which an answer that is being written is seldom interrupted by another prompt.
-One domain's loss must leave enough, so what is needed is spread over the
+Endpoints first run out of time for reading prompts, then of slots. The number
+follows the greater of both demands over the recent past, at a utilisation at
+which the generation of an answer is seldom interrupted by another prompt.
+After the loss of one domain enough must remain, so the need is spread over the
 domains and raised by the share of one.
 """
 
@@ -31,34 +31,34 @@
 ]
 
 READING_UTILISATION = 0.4
-"""Part of an endpoint's time that reading prompts may take."""
+"""Share of an endpoint's time that reading prompts may take."""
 
 PLACES_UTILISATION = 0.5
-"""Part of an endpoint's places that may be taken."""
+"""Share of an endpoint's slots that may be used."""
 
 PEAK_HOLD_S = 60.0
-"""How long a peak counts: longer than the waves that traffic comes in, and
-than an endpoint's start and the reading of what the one before it kept."""
+"""Time for which a peak counts: longer than the period of load waves, and than
+the start of an endpoint until it has read what its predecessor had cached."""
 
 SMOOTHING_S = 2.0
-"""Time after which half of what demand was before counts no more: a few long
-prompts within a second are no reason for another endpoint."""
+"""Half-life of the smoothed demand: a few long prompts within a second are no
+reason for another endpoint."""
 
 TREND_S = 4.0
-"""Time over which a trend is seen."""
+"""Time over which the trend is measured."""
 
 LOWER_STEP = 2
-"""A domain gives up endpoints only where it has this many too many: each that
-goes takes along what it keeps."""
+"""Minimum surplus at which endpoints of a domain are removed: each removed
+endpoint loses its cache."""
 
 
 @dataclasses.dataclass(frozen=True)
 class DomainDemand:
-    """What callers of a failure domain ask of a service.
+    """The demand of a failure domain's callers for a service.
 
     Attributes:
-        reading: Endpoints kept busy by reading prompts alone.
-        running: Requests that run.
+        reading: Number of endpoints that reading prompts alone keeps busy.
+        running: Number of running requests.
     """
 
     reading: float
@@ -66,7 +66,7 @@
 
 
 class Scaler(abc.ABC):
-    """Decides how many endpoints there should be."""
+    """Decides on the number of endpoints."""
 
     @abc.abstractmethod
     def wanted(
@@ -80,14 +80,14 @@
 
         Args:
             service: The service, with its bounds.
-            demand: What is asked now; domains without callers are left out.
-            present: Endpoints that take work, by domain.
+            demand: Current demand; domains without callers are left out.
+            present: Number of endpoints that take work, by domain.
             now_s: Monotonic time.
         """
 
 
 class Unchanged(Scaler):
-    """Keeps what is there."""
+    """Keeps the current number of endpoints."""
 
     def wanted(
         self,
@@ -96,19 +96,19 @@
         present: collections_abc.Mapping[ids.DomainId, int],
         now_s: float,
     ) -> dict[ids.DomainId, int]:
-        """Returns what is there; see `Scaler`."""
+        """Returns the current numbers; see `Scaler`."""
         return dict(present)
 
 
 class TargetUtilisation(Scaler):
-    """Keeps endpoints at a share of what they can do; for one service."""
+    """Keeps the endpoints of one service at a target utilisation."""
 
     def __init__(self):
         self._peaks: dict[ids.DomainId, list[tuple[float, float]]] = {}
         self._smooth: dict[ids.DomainId, float] = {}
         self._seen_s = float("-inf")
         self._wanted: dict[ids.DomainId, int] = {}
-        self._asked_since_s: float | None = None
+        self._demand_since_s: float | None = None
 
     def wanted(
         self,
@@ -121,24 +121,25 @@
         scaling = service.scaling
         assert scaling is not None
         domains = list(scaling.prices)
-        kept = 0.5 ** ((now_s - self._seen_s) / SMOOTHING_S)
+        decay = 0.5 ** ((now_s - self._seen_s) / SMOOTHING_S)
         self._seen_s = now_s
         for domain in domains:
             need = _need(service, demand.get(domain))
             before = self._smooth.get(domain, 0.0)
-            self._smooth[domain] = kept * before + (1 - kept) * need
-            self._note(domain, self._smooth[domain], now_s)
+            self._smooth[domain] = decay * before + (1 - decay) * need
+            self._add_sample(domain, self._smooth[domain], now_s)
         needs = {domain: self._peak(domain) for domain in domains}
-        if self._asked_since_s is None:
-            # What is there was set up on purpose. It is listed bit by bit.
+        if self._demand_since_s is None:
+            # The initial endpoints were set up on purpose, and discovery may
+            # list them one by one.
             for domain, count in present.items():
                 before = self._wanted.get(domain, 0)
                 self._wanted[domain] = max(count, before)
             if not any(needs.values()):
                 return dict(self._wanted)
-            self._asked_since_s = now_s
-        # The first requests tell nothing yet of how many there will be.
-        may_lower = now_s - self._asked_since_s >= PEAK_HOLD_S
+            self._demand_since_s = now_s
+        # The first requests do not show the coming demand yet.
+        may_lower = now_s - self._demand_since_s >= PEAK_HOLD_S
         for domain, count in spread(needs, scaling).items():
             before = self._wanted.get(domain, 0)
             is_lower = may_lower and count <= before - LOWER_STEP
@@ -146,8 +147,10 @@
                 self._wanted[domain] = count
         return dict(self._wanted)
 
-    def _note(self, domain: ids.DomainId, need: float, now_s: float) -> None:
-        """Keeps the samples that may still be the peak: a falling row."""
+    def _add_sample(
+        self, domain: ids.DomainId, need: float, now_s: float
+    ) -> None:
+        """Adds a sample; only a decreasing sequence can still be the peak."""
         samples = self._peaks.setdefault(domain, [])
         while samples and samples[-1][1] <= need:
             samples.pop()
@@ -160,9 +163,9 @@
 
 
 class TrendAhead(Scaler):
-    """Follows what demand will be once an ordered endpoint serves.
+    """Follows the demand predicted for when an ordered endpoint is ready.
 
-    The trend of the last `TREND_S` is drawn on by the time of a start.
+    The trend of the last `TREND_S` is extrapolated by the start time.
     """
 
     def __init__(self):
@@ -186,11 +189,11 @@
             self._samples.popleft()
         if not any(needs.values()):
             return dict(present)
-        then_s, before = self._samples[0]
-        past_s = max(now_s - then_s, TREND_S / 2)
+        first_s, before = self._samples[0]
+        elapsed_s = max(now_s - first_s, TREND_S / 2)
         ahead = {
             domain: max(
-                need + (need - before[domain]) * scaling.boot_s / past_s, 0.0
+                need + (need - before[domain]) * scaling.boot_s / elapsed_s, 0.0
             )
             for domain, need in needs.items()
         }
@@ -208,10 +211,10 @@
     needs: collections_abc.Mapping[ids.DomainId, float],
     scaling: schema.Scaling,
 ) -> dict[ids.DomainId, int]:
-    """Returns whole endpoints by domain, enough without any one domain.
+    """Returns endpoints by domain, enough after the loss of any one domain.
 
     Args:
-        needs: Endpoints that each domain's callers keep busy.
+        needs: Endpoints needed for the callers of each domain.
         scaling: The bounds of the service.
     """
     total = sum(needs.values())
@@ -220,8 +223,8 @@
     even = total / count
     least = max(scaling.least, 1)
     return {
-        # Half of it goes by callers, half evenly: work crosses to another
-        # domain at a price, and no domain may hold too much of the whole.
+        # Half is split by callers, half evenly: requests to another domain
+        # cost time, and no domain may have too large a share of all endpoints.
         domain: min(
             max(math.ceil(reserve * (need + even) / 2), least), scaling.most
         )
--- a/cardamombarrow/decisions/shares.py
+++ b/cardamombarrow/decisions/shares.py
@@ -1,19 +1,20 @@
-"""How the instances of a domain split an endpoint's slots, without a leader.
-
-Load pattern answered: the balancer sends most callers to one entry, so that
-entry queues while the slots of the others lie idle. Without this module each
-entry has limit / n and the domain works at the pace of its busiest entry.
-
-Every instance works out the split of all instances from the demand that they
-gossip, and takes its own part. Views that agree give parts that add up to the
-limit exactly. Half of the limit is split evenly, so that an instance whose
-demand is not heard yet can always start; the other half goes by demand. For a
-peer that has not been heard of late an even part is set aside, because that
-is what it takes when it hears nobody: cut off from each other, all have
-limit / n, and the limit is kept.
-
-With late views the parts can add up to more. The excess is bounded by the
-half that goes by demand. Work above a part that shrank is not cut: it drains.
+"""Leaderless split of an endpoint's slots among a domain's instances.
+
+Load pattern: the balancer sends most callers to one entry, so that this entry
+queues while the slots of the others are idle. Without this module each entry
+has limit / n, and the throughput of the domain is that of its busiest entry.
+
+Every instance computes the split for all instances from the gossiped demand
+and takes its own part. Consistent views give parts that add up to the limit
+exactly. Half of the limit is split evenly, so that an instance whose demand
+is not known yet can always start; the other half is split by demand. For a
+peer without recent gossip an even part is reserved, because it uses an even
+part itself if it receives no gossip: when all are partitioned, each has
+limit / n, and the limit holds.
+
+With stale views the parts can add up to more. The excess is bounded by the
+half that is split by demand. Requests above a part that shrank are not
+cancelled; they finish.
 """
 
 from collections import abc
@@ -31,77 +32,77 @@
 
 __all__ = ["DemandShares"]
 
-FRESH_S = 4.0
-"""A peer not heard for this long has an even part set aside.
+MAX_DEMAND_AGE_S = 4.0
+"""Age of a peer's demand from which an even part is reserved for the peer.
 
-Gossip is due each second, so some rounds may be lost.
+Gossip is sent each second, so this tolerates some lost rounds.
 """
 
 EVEN_PART = 0.5
-"""Part of the limit that does not depend on demand."""
+"""Share of the limit that does not depend on demand."""
 
-LEAST_DEMAND = 4.0
-"""Requests that every instance is reckoned to have besides its own.
+BASE_DEMAND = 4.0
+"""Requests added to the demand of every instance.
 
-With few requests the counts swing from second to second; at 1 the split swung
-with them and a running answer gave way while other instances had free slots
-(pattern fail-fast, seed 2).
+With few requests the counts vary from second to second; at 1 the split varied
+with them, and a running answer was preempted while other instances had free
+slots (pattern fail-fast, seed 2).
 """
 
-OWN_HOLD_S = 1.0
-"""Time for which one's own demand is held, as the others hear it."""
+OWN_DEMAND_HOLD_S = 1.0
+"""Refresh interval of this instance's own demand, as for its peers."""
 
 SMOOTHING_S = 15.0
 """Time constant of an instance's mean demand.
 
-Each slot that moves while an endpoint is full is lost to the instance that
-gives it up before the other can use it: unsmoothed, a family's question waited
-for a slot that a lower tier had just made free for it.
+A slot that moves while an endpoint is full is lost to the old instance before
+the new one can use it: without smoothing, a family's question waited for a
+slot that a preempted request of a lower tier had just freed.
 """
 
 EVEN_RATIO = 1.3
-"""Up to this ratio of the largest demand to the mean the split is even.
+"""Ratio of the largest demand to the mean up to which the split is even.
 
-A balancer that spreads callers evenly still leaves such differences from
-second to second; following them moves slots and gains nothing.
+With a balancer that spreads callers evenly, demands still differ this much
+from second to second; following them moves slots without a benefit.
 """
 
-CIRCLES_KEPT = 1_024
-"""Orders of instances that are remembered: one for each near endpoint, and
-some while members come and go."""
+RING_CACHE_SIZE = 1_024
+"""Cached orders of instances: one for each endpoint of the domain, and some
+more while members change."""
 
 _POINTS = 1 << 32
 
 
 @dataclasses.dataclass(slots=True)
-class _Mean:
+class _MeanDemand:
     """An instance's mean demand by service."""
 
     demand: dict[ids.ServiceId, float]
     seen_at_s: float
 
-    def take(self, heard: messages.PeerDemand) -> None:
-        """Moves towards a demand that was heard since."""
-        past_s = heard.seen_at_s - self.seen_at_s
-        if past_s <= 0.0:
+    def update(self, newer: messages.PeerDemand) -> None:
+        """Moves the mean towards a newer demand."""
+        elapsed_s = newer.seen_at_s - self.seen_at_s
+        if elapsed_s <= 0.0:
             return
-        part = 1.0 - math.exp(-past_s / SMOOTHING_S)
-        for service in {*self.demand, *heard.demand_tokens_per_s}:
-            value = heard.demand_tokens_per_s.get(service, 0.0)
+        part = 1.0 - math.exp(-elapsed_s / SMOOTHING_S)
+        for service in {*self.demand, *newer.demand_tokens_per_s}:
+            value = newer.demand_tokens_per_s.get(service, 0.0)
             old = self.demand.get(service, 0.0)
             self.demand[service] = old + part * (value - old)
-        self.seen_at_s = heard.seen_at_s
+        self.seen_at_s = newer.seen_at_s
 
 
 @registry.plugin("shares", "demand")
 class DemandShares(base.Shares):
-    """Half evenly, half by gossiped demand."""
+    """Splits half evenly and half by gossiped demand."""
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
         self._own: messages.PeerDemand | None = None
-        self._means: dict[ids.InstanceId, _Mean] = {}
-        self._known: dict[tuple[ids.EndpointId, int, int], int] = {}
+        self._means: dict[ids.InstanceId, _MeanDemand] = {}
+        self._cache: dict[tuple[ids.EndpointId, int, int], int] = {}
 
     def share(
         self,
@@ -114,33 +115,37 @@
         """Returns this instance's whole slots out of `limit`."""
         if not peers:
             return limit
-        if self._own is None or now_s - self._own.seen_at_s >= OWN_HOLD_S:
+        if (
+            self._own is None
+            or now_s - self._own.seen_at_s >= OWN_DEMAND_HOLD_S
+        ):
             self._own = own
-            self._known.clear()
+            self._cache.clear()
         key = (state.endpoint, limit, len(peers))
-        if key not in self._known:
-            self._known[key] = self._work_out(state, limit, peers, now_s)
-        return self._known[key]
+        if key not in self._cache:
+            self._cache[key] = self._compute(state, limit, peers, now_s)
+        return self._cache[key]
 
-    def _work_out(
+    def _compute(
         self,
         state: endpoint_module.EndpointState,
         limit: int,
         peers: abc.Sequence[messages.PeerDemand],
         now_s: float,
     ) -> int:
-        """Works out a split; done at each look it would cost 12% of a core.
+        """Computes a split.
 
-        That was seen with 58 endpoints, 36 instances and 20 looks a second.
+        The result is cached: computed on each call it took 12% of a core with
+        58 endpoints, 36 instances and 20 calls per second.
         """
         service = state.service
         own = self._own
         weights = {self.context.instance: self._weight(own, service)}
         for peer in peers:
-            fresh = now_s - peer.seen_at_s <= FRESH_S
+            fresh = now_s - peer.seen_at_s <= MAX_DEMAND_AGE_S
             weight = self._weight(peer, service) if fresh else None
             weights[peer.instance] = weight
-        whole = _whole(limit, weights, state.endpoint)
+        whole = _round_to_slots(limit, weights, state.endpoint)
         return whole[self.context.instance]
 
     def _weight(
@@ -148,10 +153,12 @@
     ) -> float:
         mean = self._means.get(demand.instance)
         if mean is None:
-            mean = _Mean(dict(demand.demand_tokens_per_s), demand.seen_at_s)
+            mean = _MeanDemand(
+                dict(demand.demand_tokens_per_s), demand.seen_at_s
+            )
             self._means[demand.instance] = mean
-        mean.take(demand)
-        return LEAST_DEMAND + mean.demand.get(service, 0.0)
+        mean.update(demand)
+        return BASE_DEMAND + mean.demand.get(service, 0.0)
 
 
 def split(
@@ -161,7 +168,7 @@
 
     Args:
         limit: Slots of the endpoint.
-        weights: Demand by instance; None where it is not known.
+        weights: Demand by instance; None if it is not known.
     """
     even = limit / len(weights)
     known = {name: w for name, w in weights.items() if w is not None}
@@ -177,42 +184,42 @@
     }
 
 
-def _whole(
+def _round_to_slots(
     limit: int,
     weights: dict[ids.InstanceId, float | None],
     endpoint: ids.EndpointId,
 ) -> dict[ids.InstanceId, int]:
     """Rounds parts to whole slots that add up to `limit`.
 
-    Instances stand in a circle in an order that differs by endpoint, and each
-    slot goes to the instance in whose stretch its mark falls. So an instance
-    with a part under one slot has a whole slot on some endpoints. With fewer
-    slots than instances the marks turn whenever any demand changes; without
-    that the same instances would stay without a slot for good.
+    Instances are placed on a ring in an order that differs by endpoint, and
+    each slot goes to the instance whose arc contains its point. An instance
+    with a part below one slot thus has a whole slot on some endpoints. With
+    fewer slots than instances the points are rotated whenever any demand
+    changes; otherwise the same instances would never get a slot.
     """
     parts = split(limit, weights)
-    order = _circle(endpoint, tuple(parts))
-    mark = _hash(endpoint, "mark") / _POINTS
+    order = _ring_order(endpoint, tuple(parts))
+    offset = _hash(endpoint, "mark") / _POINTS
     if limit < len(parts):
-        view = ",".join(f"{name}:{weights[name]}" for name in order)
-        mark = _hash(endpoint, view) / _POINTS
+        demands = ",".join(f"{name}:{weights[name]}" for name in order)
+        offset = _hash(endpoint, demands) / _POINTS
     whole = {}
-    reached = 0.0
+    position = 0.0
     for name in order:
-        begin = math.ceil(reached - mark - 1e-9)
-        reached += parts[name]
-        whole[name] = math.ceil(reached - mark - 1e-9) - begin
+        first = math.ceil(position - offset - 1e-9)
+        position += parts[name]
+        whole[name] = math.ceil(position - offset - 1e-9) - first
     return whole
 
 
-@functools.lru_cache(maxsize=CIRCLES_KEPT)
-def _circle(
+@functools.lru_cache(maxsize=RING_CACHE_SIZE)
+def _ring_order(
     endpoint: ids.EndpointId, names: tuple[ids.InstanceId, ...]
 ) -> tuple[ids.InstanceId, ...]:
-    """Returns the instances in an endpoint's own order.
+    """Returns the instances in the ring order of an endpoint.
 
-    It changes only with the members; sorted anew each second it took half of
-    the time of a look at the shares.
+    It is cached because it changes only with the members; sorting each second
+    took half of the time to compute the shares.
     """
     return tuple(sorted(names, key=lambda name: _hash(endpoint, name)))
 
