--- a/cardamombarrow/decisions/tests/test_admission.py
+++ b/cardamombarrow/decisions/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is refused at once, and who is given up."""
+"""Tests of admission: immediate refusals and queue timeouts."""
 
 import dataclasses
 import itertools
@@ -26,7 +26,7 @@
     ("class_id", "wait_s", "refused"),
     [("chat", 0.3, False), ("chat", 2.0, True), ("letter", 20.0, False)],
 )
-def test_each_class_is_judged_by_its_own_target(
+def test_admission_uses_the_target_of_the_class(
     predicted, new_job, class_id, wait_s, refused
 ):
     backlog = _backlog(predicted_wait_s=wait_s)
@@ -34,11 +34,9 @@
     assert (reason is not None) == refused
 
 
-def test_nobody_is_refused_while_a_lower_tier_holds_its_slots(
-    predicted, new_job
-):
-    # Letters hold all slots and a family's question would wait for seconds.
-    # Refused, it would have been shed to serve a lower tier.
+def test_no_refusal_while_a_lower_tier_uses_its_slots(predicted, new_job):
+    # Letters use all slots and a family's question would wait for seconds.
+    # A refusal would shed it in favour of a lower tier.
     backlog = _backlog(predicted_wait_s=60.0, lower_over_reserve=True)
     assert predicted.refuse(new_job("chat"), backlog, 0.0) is None
     assert predicted.give_up(new_job("chat"), backlog, 1.0) is None
@@ -46,15 +44,15 @@
 
 def test_one_request_of_each_tier_may_always_wait(predicted, new_job):
     # A burst of chat leaves summaries a tenth of the slots, one every few
-    # seconds. Refused by the prediction, none would be there to take it.
+    # seconds. If all were refused by the prediction, none would use it.
     backlog = _backlog(predicted_wait_s=60.0, tier_waiting=0)
     assert predicted.refuse(new_job("summary"), backlog, 0.0) is None
     assert predicted.give_up(new_job("summary"), backlog, 9.0) is None
 
 
-def test_slow_first_tokens_alone_refuse_nobody(predicted, new_job):
-    # Every engine needs two seconds to the first token. Were that alone a
-    # reason, all callers would be refused beside idle slots, for good.
+def test_slow_first_tokens_alone_cause_no_refusal(predicted, new_job):
+    # Every engine needs two seconds to the first token. If that alone caused
+    # refusals, all callers would be refused for good while slots are idle.
     backlog = _backlog(first_token_s=2.0)
     assert predicted.refuse(new_job("chat"), backlog, 0.0) is None
 
@@ -62,8 +60,8 @@
 def test_waiting_job_is_given_up_once_its_deadline_is_out_of_reach(
     predicted, new_job
 ):
-    # An answer takes two seconds and the deadline is in one. Kept until then,
-    # the caller would learn a second later what is certain now.
+    # An answer takes two seconds and the deadline is in one. Without an early
+    # timeout the caller would get the certain failure a second later.
     job = new_job("chat")
     backlog = _backlog(service_s=2.0, tier_waiting=0)
     assert predicted.give_up(job, backlog, job.deadline_s - 2.1) is None
@@ -71,10 +69,12 @@
     assert predicted.look_s(job, backlog, 19.0) == job.deadline_s - 2.0
 
 
-def test_a_long_guess_refuses_nobody_beside_idle_slots(predicted, new_job):
-    # Bug: a sign-off has five seconds in all, and the guess before any has
-    # ended was 5.2 s. Every one was given up at once on an idle entry; none
-    # ran, so the guess stayed.
+def test_long_estimate_causes_no_refusal_while_slots_are_idle(
+    predicted, new_job
+):
+    # Bug: the class has five seconds in all, and the initial estimate was
+    # 5.2 s. Every request was given up at once on an idle entry; none ran, so
+    # the estimate never changed.
     job = new_job("chat")
     backlog = _backlog(service_s=1_000.0, jobs_ahead=0, tier_waiting=0)
     assert predicted.give_up(job, backlog, job.arrived_s) is None
@@ -97,11 +97,11 @@
     assert policy.refuse(new_job("chat"), fresh, 6.1) is None
 
 
-def test_lowest_tier_makes_room_when_every_thread_is_taken(
+def test_lowest_tier_is_evicted_when_every_thread_is_taken(
     new_dispatcher, new_job, monkeypatch
 ):
     # Each waiting request holds a thread of the entry. Letters took the last
-    # one; the next family's question would find nobody to read it.
+    # one; without eviction the next family's question would not be read.
     monkeypatch.setattr(admission, "WAITING_BOUND", 3)
     dispatcher = new_dispatcher(slots=1)
     for _ in range(2):
--- a/cardamombarrow/decisions/tests/test_dispatcher.py
+++ b/cardamombarrow/decisions/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher's bookkeeping."""
+"""Tests of the dispatcher's bookkeeping."""
 
 import dataclasses
 import random
@@ -11,7 +11,9 @@
 from cardamombarrow.kernel import errors
 
 
-def test_workspace_limit_counts_what_waits_and_runs(new_dispatcher, new_job):
+def test_workspace_limit_counts_waiting_and_running_requests(
+    new_dispatcher, new_job
+):
     dispatcher = new_dispatcher()
     jobs = [new_job(workspace="limited") for _ in range(3)]
     assert dispatcher.offer(jobs[0], 0.0) is None
@@ -25,8 +27,8 @@
 
 
 def test_waiting_job_is_answered_at_its_deadline(new_dispatcher, new_job):
-    # Every slot is held by a long letter. Without a look at its deadline a
-    # question would wait for an answer that is of no use any more.
+    # Every slot is used by a long letter. Without a check of its deadline a
+    # question would wait for an answer that is no longer of use.
     dispatcher = new_dispatcher(slots=1, preemption="never")
     for _ in range(2):
         dispatcher.offer(new_job("letter"), 0.0)
@@ -41,7 +43,7 @@
 
 
 def test_relisted_endpoint_takes_work_again(new_dispatcher, context):
-    # An operator takes an endpoint out of the document and puts it back while
+    # An operator removes an endpoint from the document and adds it again while
     # an old request still runs there; it must not stay unused for good.
     dispatcher = new_dispatcher()
     document = context.document
@@ -61,11 +63,11 @@
     return dataclasses.replace(document, services={service.service: changed})
 
 
-def test_class_taken_out_of_the_document_does_no_harm(
+def test_class_removed_from_the_document_breaks_nothing(
     new_dispatcher, new_job, document
 ):
-    # An operator removes a class while one of its requests is on its way to
-    # the queue and another one runs.
+    # An operator removes a class while one of its requests is about to be
+    # queued and another one runs.
     dispatcher = new_dispatcher()
     first, second = new_job("letter"), new_job("letter")
     assert dispatcher.offer(first, 0.0) is None
@@ -82,7 +84,7 @@
 
 
 class _Callers:
-    """Does one random thing after another and keeps account."""
+    """Performs random actions and tracks the expected state."""
 
     def __init__(self, dispatcher, new_job, seed):
         self.dispatcher = dispatcher
@@ -137,17 +139,17 @@
 
 @pytest.mark.parametrize("queue", ["fifo", "tiered"])
 @hypothesis.given(seed=strategies.integers(0, 10_000))
-def test_every_job_has_one_end(new_dispatcher, new_job, queue, seed):
-    # A caller that gets no answer hangs; a slot that is never given back is
-    # lost until a restart; counters that drift refuse for no reason.
+def test_every_job_ends_exactly_once(new_dispatcher, new_job, queue, seed):
+    # A caller without an answer hangs; a slot that is never released is lost
+    # until a restart; counters that drift cause refusals without a reason.
     dispatcher = new_dispatcher(slots=2, queue=queue)
     callers = _Callers(dispatcher, new_job, seed)
     for _ in range(150):
         callers.act()
-        held = sum(len(state.running) for state in dispatcher.endpoints())
-        assert held == len(callers.running)
+        running = sum(len(state.running) for state in dispatcher.endpoints())
+        assert running == len(callers.running)
         demand = dispatcher.demand(0.0).demand_tokens_per_s
-        inside = len(callers.waiting) + len(callers.running)
-        assert sum(demand.values()) == inside
+        expected = len(callers.waiting) + len(callers.running)
+        assert sum(demand.values()) == expected
         for state in dispatcher.endpoints():
             assert len(state.running) <= state.share
--- a/cardamombarrow/decisions/tests/test_fairness.py
+++ b/cardamombarrow/decisions/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""Fairness between the workspaces of one tier."""
+"""Tests of fairness between the workspaces of a tier."""
 
 import collections
 import random
@@ -16,9 +16,9 @@
     return order
 
 
-def test_hot_workspace_does_not_stand_before_the_others(new_job):
-    # One clinic's batch job sends a hundred questions at once. A family that
-    # asks a moment later would wait for all of them.
+def test_hot_workspace_does_not_delay_the_others(new_job):
+    # One clinic's batch job sends a hundred questions at once. A question of a
+    # family shortly after would wait for all of them.
     queue = fairness.FairQueue()
     for _ in range(100):
         queue.push(new_job(workspace="hot"), 1.0)
@@ -45,9 +45,9 @@
     assert 1.8 < served["double"] / served["single"] < 2.2
 
 
-def test_answers_longer_than_estimated_are_paid_for(new_job):
-    # Nobody knows an answer's length beforehand. A workspace whose answers
-    # run ten times as long as the estimate would get ten times its part.
+def test_answers_longer_than_estimated_are_charged(new_job):
+    # The length of an answer is not known in advance. A workspace whose
+    # answers are ten times as long as estimated would get ten times its share.
     queue = fairness.FairQueue()
     served = collections.Counter()
     for _ in range(300):
@@ -62,11 +62,11 @@
 
 @hypothesis.given(strategies.integers(0, 1000))
 def test_every_job_leaves_once(new_job, seed):
-    # A job lost between the heaps would hang its caller until its deadline;
-    # one kept twice would run twice.
+    # The caller of a job lost between the heaps would hang until its deadline;
+    # a job that is queued twice would run twice.
     rng = random.Random(seed)
     queue = fairness.FairQueue()
-    inside, left = {}, []
+    queued, served = {}, []
     for step in range(120):
         action = rng.choice(("push", "push", "pop", "remove", "hide"))
         if action == "push":
@@ -75,18 +75,18 @@
                 arrived_s=rng.random() * step,
                 expected_tokens=rng.choice((1.0, 80.0, 2000.0)),
             )
-            inside[job.request_id] = job
+            queued[job.request_id] = job
             queue.push(job, rng.choice((0.1, 1.0, 3.0)))
         elif action == "pop":
             job = queue.pop()
-            assert (job is None) == (not inside)
+            assert (job is None) == (not queued)
             if job is not None:
-                left.append(inside.pop(job.request_id))
+                served.append(queued.pop(job.request_id))
                 queue.settle(job, rng.randrange(3000))
-        elif action == "remove" and inside:
-            name = rng.choice(list(inside))
-            assert queue.remove(name) is inside.pop(name)
+        elif action == "remove" and queued:
+            name = rng.choice(list(queued))
+            assert queue.remove(name) is queued.pop(name)
         elif action == "hide":
-            assert len(queue.heads(3)) == min(3, len(inside))
-        assert len(queue) == len(inside)
-    assert len(_order(queue)) == len(inside)
+            assert len(queue.heads(3)) == min(3, len(queued))
+        assert len(queue) == len(queued)
+    assert len(_order(queue)) == len(queued)
--- a/cardamombarrow/decisions/tests/test_fleet.py
+++ b/cardamombarrow/decisions/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Parts of a bound that all instances keep together."""
+"""Tests of the parts of a bound over all instances."""
 
 import dataclasses
 import random
@@ -24,15 +24,15 @@
 
 @pytest.mark.parametrize("count", [1, 2, 7, 80])
 @pytest.mark.parametrize("bound", [100, 360, 520])
-def test_parts_of_all_instances_keep_the_bound(count, bound):
+def test_parts_of_all_instances_stay_within_the_bound(count, bound):
     parts = [_part(*[count] * 300).whole(bound) for _ in range(count)]
     assert 0 < sum(parts) <= max(bound, count)
 
 
-def test_a_part_does_not_grow_while_nobody_is_heard():
-    # A cut leaves each half of eighty instances with the other half unheard
-    # for some seconds, and both go on. Parts that grew at once would double
-    # the connections to an endpoint, which resets what is above its bound.
+def test_part_does_not_grow_during_a_partition():
+    # A partition separates the halves of eighty instances for some seconds,
+    # and both go on. Parts that grew at once would double the connections to
+    # an endpoint, which resets those above its bound.
     before = _part(80).of(520)
     assert _part(80, *[40] * 5).of(520) < 1.06 * before
     assert 2 * 40 * _part(80, *[40] * 20).whole(520) <= 520
@@ -57,10 +57,10 @@
 
 
 @pytest.mark.parametrize("count", [7, 80])
-def test_instances_of_all_domains_keep_an_endpoints_connections(count):
-    # Slots are split among the instances of one domain. In a burst those of
-    # the other domains send there too, each up to all the slots, and the
-    # endpoint resets connections that have requests on them.
+def test_instances_of_all_domains_respect_max_connections(count):
+    # Slots are split among the instances of one domain. In a burst instances
+    # of other domains also send to the endpoint, each up to all its slots, and
+    # it resets connections with requests on them.
     most = 2 * count
     in_flight = 0
     for number in range(count):
--- a/cardamombarrow/decisions/tests/test_limits.py
+++ b/cardamombarrow/decisions/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that follow the time to first token."""
+"""Tests of limits that follow the time to first token."""
 
 import pytest
 
@@ -38,12 +38,12 @@
 
 
 @pytest.mark.parametrize("plugin", PLUGINS)
-def test_limit_falls_under_congestion_and_comes_back(
+def test_limit_falls_under_congestion_and_recovers(
     plugin, context, new_job, state
 ):
-    """An engine's memory goes to long prompts, so it takes half of before.
+    """Long prompts use an engine's memory, so its capacity is halved.
 
-    Kept full, it computes evicted work again and all its callers wait.
+    At the old limit it recomputes evicted work and all its callers wait.
     """
     policy = plugin(context)
     now_s = _first_tokens(policy, state, new_job, 0.0, 10, 0.05)
@@ -58,7 +58,7 @@
 def test_limit_stays_between_one_and_the_documents_slots(
     plugin, context, new_job, state
 ):
-    """Cut to nothing an endpoint would never be tried again."""
+    """An endpoint with a limit of zero would never be used again."""
     policy = plugin(context)
     now_s = _first_tokens(policy, state, new_job, 0.0, 3, 0.001)
     for first_s in (50.0, 0.001, 900.0):
@@ -68,10 +68,10 @@
     assert policy.limit(state, now_s) <= 2
 
 
-def test_engine_slower_for_good_is_not_throttled_for_ever(
+def test_engine_slower_for_good_is_not_throttled_forever(
     context, new_job, state
 ):
-    """A new model version answers slower; that is not congestion."""
+    """A new model version is slower; that is not congestion."""
     policy = limits.GradientLimits(context)
     now_s = _first_tokens(policy, state, new_job, 0.0, 10, 0.05)
     now_s = _first_tokens(policy, state, new_job, now_s, 120, 0.4)
@@ -79,7 +79,7 @@
 
 
 def test_slow_tokens_lower_the_limit(context, new_job, state):
-    """An engine out of memory slows what runs, first tokens come as before."""
+    """An engine out of memory slows running requests, not first tokens."""
     policy = limits.GradientLimits(context)
     now_s = 0.0
     for token_s in (0.02,) * 10 + (0.12,) * 20:
@@ -100,8 +100,8 @@
 
 
 @pytest.mark.parametrize("plugin", PLUGINS)
-def test_a_report_counts_once(plugin, context, new_job, state):
-    """A report stands for seconds; looked at each tick it would cut to one."""
+def test_report_counts_once(plugin, context, new_job, state):
+    """Applying the same report on each tick would cut the limit to one."""
     policy = plugin(context)
     now_s = _first_tokens(policy, state, new_job, 0.0, 5, 0.05)
     state.report = messages.LoadReport(4, 4, 0.9, False, measured_at_s=now_s)
@@ -110,12 +110,12 @@
     assert policy.limit(state, now_s + 5.0) >= SLOTS // 2
 
 
-def test_cached_prompts_are_not_the_low_water_mark(context, new_job, state):
+def test_cached_prompts_do_not_set_the_minimum(context, new_job, state):
     """Requests with a shared prompt are answered from the engine's cache.
 
-    Taken for the engine's best, their times made every other request look
-    like congestion: the limits were cut and a shared prompt was spread over
-    all engines (pattern many-prefixes, seeds 0 to 2, fell to the baseline).
+    As the minimum, their times made every other request look like congestion:
+    the limits were cut and a shared prompt was spread over all engines
+    (pattern many-prefixes, seeds 0 to 2, fell to the baseline).
     """
     policy = limits.GradientLimits(context)
     now_s = 0.0
@@ -132,10 +132,10 @@
     assert policy.limit(state, now_s) == SLOTS
 
 
-def test_answers_in_one_piece_teach_nothing(context, new_job, state):
+def test_answers_that_are_not_streamed_are_ignored(context, new_job, state):
     """The first byte of an answer that is not streamed comes with its last.
 
-    Taken for first tokens, long answers after short ones cut the limits.
+    As first tokens, long answers after short ones would cut the limits.
     """
     policy = limits.GradientLimits(context)
     for number in range(40):
@@ -147,8 +147,8 @@
     assert policy.limit(state, 50.0) == SLOTS
 
 
-def test_times_near_nothing_are_no_low_water_mark(context, new_job, state):
-    """One instant answer must not make all later ones look slow."""
+def test_times_near_zero_do_not_set_the_minimum(context, new_job, state):
+    """An immediate answer must not make all later ones look slow."""
     policy = limits.GradientLimits(context)
     now_s = _first_tokens(policy, state, new_job, 0.0, 3, 0.0)
     now_s = _first_tokens(policy, state, new_job, now_s, 30, 0.08)
--- a/cardamombarrow/decisions/tests/test_overload.py
+++ b/cardamombarrow/decisions/tests/test_overload.py
@@ -1,9 +1,9 @@
-"""Load patterns in virtual time: the queue side, by what callers receive.
+"""Tests of the queue-side policies on load patterns in virtual time.
 
-An oracle watches every refusal and every preemption. Each pattern is run with
-the document's default policies, and again with the baseline in the place of
-the policy that answers it: the second run shows that the pattern does harm
-and that the check notices it.
+An oracle checks every refusal and every preemption. Each pattern is run with
+the document's default policies, and again with the policy under test replaced
+by its baseline: the second run shows that the pattern is harmful and that the
+check detects it.
 """
 
 import collections
@@ -28,21 +28,23 @@
 
 SEEDS = (0, 1, 2)
 WINDOW_S = 20.0
-"""Longer than the longest of the usual answers: a letter takes 10 s."""
+"""Longer than the longest usual answer: a letter takes 10 s."""
 
 HOT = ids.WorkspaceId("w0")
 
 
 @dataclasses.dataclass
 class Watch:
-    """What the oracle saw in the runs of one pattern.
+    """Observations of the oracle in the runs of one pattern.
 
     Attributes:
-        broken: Each time a rule was broken, in words.
+        broken: Descriptions of rule violations.
         admitted: First tokens by class and whether the workspace is the hot
-            one; `kept` of them within the target, counted from this sending.
-        returns: By class: when a refused caller was told, and its time.
-        ends_s: By class: moments at which whole answers ended.
+            one.
+        kept: First tokens of these within the target, from the last sending.
+        returns: By class: times of refusals, and their retry-after times.
+        ends_s: By class: times at which answers completed.
+        tokens: Tokens by class and whether the workspace is the hot one.
     """
 
     broken: list[str] = dataclasses.field(default_factory=list)
@@ -62,14 +64,14 @@
         default_factory=collections.Counter
     )
 
-    def kept_share(self, class_id: ids.ClassId, hot: bool = False) -> float:
-        """Share of the admitted whose first token came in time."""
+    def on_time_share(self, class_id: ids.ClassId, hot: bool = False) -> float:
+        """Returns the share of admitted requests with a first token in time."""
         key = (class_id, hot)
         return self.kept[key] / max(self.admitted[key], 1)
 
 
 class _WatchedDriver(driver.Driver):
-    """A driver that checks the rules on its way."""
+    """A driver that checks rules at each event."""
 
     def __init__(self, scenario: scenarios.Scenario, seed: int, watch: Watch):
         super().__init__(scenario, seed)
@@ -79,7 +81,7 @@
         self._tiers = scenario.document.tiers.values()
 
     def _over_reserve(self, entry: int, rank: int) -> list[schema.Tier]:
-        """Returns the lower tiers that hold more than their share."""
+        """Returns the lower tiers that use more than their share."""
         held = collections.Counter(
             flight.job.rank
             for flight in self._flights.values()
@@ -97,19 +99,21 @@
         job = flight.job
         if refusal.kind is not errors.ErrorKind.QUARANTINED:
             for tier in self._over_reserve(flight.entry, job.rank):
-                self._break(
+                self._violation(
                     f"{job.class_id} refused ({refusal.detail}) while "
-                    f"{tier.tier} holds more than its share"
+                    f"{tier.tier} uses more than its share"
                 )
         if job.request_id in self._ran and not job.may_have_run:
-            self._break(f"{job.request_id} was refused but has run")
+            self._violation(f"{job.request_id} was refused but has run")
         if self._now_s > job.deadline_s + driver.TICK_S:
-            self._break(f"{job.request_id} was kept beyond its deadline")
+            self._violation(f"{job.request_id} was refused after its deadline")
         if refusal.retry_after_s is None or refusal.retry_after_s <= 0.0:
-            self._break(f"{job.request_id} was not told when to come back")
+            self._violation(
+                f"{job.request_id} was refused without a retry-after time"
+            )
         else:
-            told = (self._now_s, refusal.retry_after_s)
-            self._watch.returns[job.class_id].append(told)
+            retry_after = (self._now_s, refusal.retry_after_s)
+            self._watch.returns[job.class_id].append(retry_after)
         self._refused_ids.add(job.request_id)
         super()._refused(flight, refusal)
 
@@ -117,17 +121,19 @@
         super()._deliver(flight)
         self._ran.add(flight.job.request_id)
         if flight.job.request_id in self._refused_ids:
-            self._break(f"{flight.job.request_id} ran after its refusal")
+            self._violation(f"{flight.job.request_id} ran after its refusal")
 
     def _preempt(self, flight) -> None:
         if flight.endpoint is not None:
             rank = flight.job.rank
             over = self._over_reserve(flight.entry, rank - 1)
             if rank not in [tier.rank for tier in over]:
-                self._break(f"rank {rank} gave way within its share")
+                self._violation(f"rank {rank} was preempted within its share")
             waiting = self._entries[flight.entry].waiting_jobs()
             if all(job.rank >= rank for job in waiting):
-                self._break(f"rank {rank} gave way to nobody above it")
+                self._violation(
+                    f"rank {rank} was preempted without a higher tier waiting"
+                )
         super()._preempt(flight)
 
     def _first(self, flight) -> None:
@@ -146,7 +152,7 @@
             flight.tokens
         )
 
-    def _break(self, rule: str) -> None:
+    def _violation(self, rule: str) -> None:
         self._watch.broken.append(f"at {self._now_s:.2f} s: {rule}")
 
 
@@ -190,19 +196,19 @@
 
 
 def _low_burst(result, watches) -> bool:
-    # Letters come at twelve times their usual rate for half a minute. A
-    # family's question would stand behind them, or wait for one to end.
+    # Letters arrive at twelve times their usual rate for half a minute. A
+    # family's question would wait for all of them, or for one to end.
     return _chat_share(result) >= 0.99 and result.wasted_share < 0.02
 
 
 def _high_burst(result, watches) -> bool:
-    # Chat alone asks for more than all engines give. Whoever is let in must
-    # be served in time; if all are, all are late.
-    return all(w.kept_share(patterns.CHAT) > 0.85 for w in watches)
+    # Chat alone exceeds the capacity of all engines. Admitted requests must be
+    # served in time; if all are admitted, all are late.
+    return all(w.on_time_share(patterns.CHAT) > 0.85 for w in watches)
 
 
 def _high_burst_returns(result, watches) -> bool:
-    # Refused callers who are told a fixed time come back as a wave and are
+    # Callers refused with a fixed retry-after time return as one wave and are
     # refused again until they give up.
     return result.classes[patterns.CHAT].completed > (
         0.95 * result.classes[patterns.CHAT].offered
@@ -210,22 +216,22 @@
 
 
 def _hot_workspace(result, watches) -> bool:
-    # One workspace sends several times its part in two classes. Its own
-    # requests may be late; the others' may not.
-    return all(w.kept_share(patterns.CHAT) > 0.95 for w in watches)
+    # One workspace sends several times its share in two classes. Only its own
+    # requests may be late.
+    return all(w.on_time_share(patterns.CHAT) > 0.95 for w in watches)
 
 
 def _long_answers(result, watches) -> bool:
-    # One workspace's answers run six times as long as its class's, and
-    # nobody knows beforehand. Its tokens must not crowd out nine others. (The
-    # first of its answers takes a third of the run to show its length.)
+    # One workspace's answers are six times as long as usual in their class,
+    # which is not known in advance. Its tokens must not crowd out the other
+    # nine. (Its first answer takes a third of the run to show its length.)
     hot = sum(w.tokens[patterns.DESK, True] for w in watches)
     others = sum(w.tokens[patterns.DESK, False] for w in watches)
     return hot < 0.28 * (hot + others)
 
 
 def _overload(result, watches) -> bool:
-    # The lower classes ask for twice or five times the capacity for a minute.
+    # The lower classes demand two or five times the capacity for a minute.
     letters = sum(w.tokens[patterns.LETTER, False] for w in watches)
     letters += sum(w.tokens[patterns.LETTER, True] for w in watches)
     all_tokens = sum(sum(w.tokens.values()) for w in watches)
@@ -237,8 +243,8 @@
 
 
 def _retry_storm(result, watches) -> bool:
-    # A hundred and more requests arrive within seconds and are refused. If
-    # they all return at once the wave goes on until they give up.
+    # More than a hundred requests arrive within seconds and are refused. If
+    # they all return at once, the wave repeats until they give up.
     desk = result.classes[patterns.DESK]
     return desk.completed > 0.95 * desk.offered
 
@@ -258,7 +264,7 @@
 
 
 @pytest.mark.parametrize(("name", "check", "slot"), CASES)
-def test_pattern_is_answered_by_its_policy(name, check, slot):
+def test_pattern_is_handled_by_its_policy(name, check, slot):
     assert check(*_run(name, schema.Policies()))
     assert not check(*_run(name, _with_baseline(slot)))
 
@@ -267,17 +273,16 @@
 
 
 @pytest.mark.parametrize("name", PATTERNS)
-def test_oracle_finds_no_rule_broken(name):
-    # A higher tier is never refused, and no tier gives way, while a lower one
-    # holds more than its share; nothing refused has run; everybody is told
-    # when to come back.
+def test_oracle_finds_no_violation(name):
+    # No tier is refused or preempted while a lower one uses more than its
+    # share; no refused request has run; each refusal has a retry-after time.
     _, watches = _run(name, schema.Policies())
     assert [rule for watch in watches for rule in watch.broken] == []
 
 
 @pytest.mark.parametrize("name", ["burst-high", "overload-2x", "overload-5x"])
 def test_each_class_completes_work_in_each_window(name):
-    # A long burst from above must not stop the lowest class altogether.
+    # A long burst of a higher tier must not stop the lowest class.
     _, watches = _run(name, schema.Policies())
     for watch in watches:
         for class_id, ends_s in watch.ends_s.items():
@@ -286,19 +291,21 @@
                 assert inside, f"{class_id} from {from_s} s"
 
 
-def test_oracle_sees_a_higher_tier_refused():
+def test_oracle_detects_the_refusal_of_a_higher_tier():
     _, watches = _run("burst-low", benchmarks.BASELINE)
     assert all(watch.broken for watch in watches)
 
 
-def test_times_to_come_back_grow_and_are_spread():
-    # The burst of chat goes on for half a minute. Those refused late have
-    # more callers before them than those refused early.
+def test_retry_after_times_grow_and_are_spread():
+    # The burst of chat lasts for half a minute. Callers refused late have more
+    # callers before them than those refused early.
     _, watches = _run("burst-high", schema.Policies())
     for watch in watches:
-        told = watch.returns[patterns.CHAT]
-        early = [after for at, after in told if 10.0 < at < 15.0]
-        late = [after for at, after in told if 30.0 < at < 40.0]
+        retry_afters = watch.returns[patterns.CHAT]
+        early = [after for at, after in retry_afters if 10.0 < at < 15.0]
+        late = [after for at, after in retry_afters if 30.0 < at < 40.0]
         assert statistics.median(late) > 1.5 * statistics.median(early)
-        back = collections.Counter(int(at + after) for at, after in told)
-        assert max(back.values()) < 0.15 * len(told)
+        back = collections.Counter(
+            int(at + after) for at, after in retry_afters
+        )
+        assert max(back.values()) < 0.15 * len(retry_afters)
--- a/cardamombarrow/decisions/tests/test_quarantine.py
+++ b/cardamombarrow/decisions/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash endpoints, and the innocent ones beside them."""
+"""Tests of the quarantine of requests that crash endpoints."""
 
 import dataclasses
 
@@ -20,30 +20,28 @@
     return new_job(fingerprint=ids.Fingerprint(name))
 
 
-def test_second_crash_alone_quarantines_and_spares_the_innocent(
-    policy, new_job
-):
-    """A request ends each engine that runs it and its caller sends it again.
+def test_second_crash_alone_quarantines_only_the_cause(policy, new_job):
+    """A request crashes each engine that runs it and its caller resends it.
 
-    Others were on the first engine; their callers must not be refused.
+    Other requests were on the first engine; they must not be refused.
     """
     bad = _job(new_job, "bad")
-    innocent = [_job(new_job, f"good-{n}") for n in range(5)]
-    policy.on_crash(ENDPOINT, [bad, *innocent], 1.0)
-    for job in (bad, *innocent):
+    harmless = [_job(new_job, f"good-{n}") for n in range(5)]
+    policy.on_crash(ENDPOINT, [bad, *harmless], 1.0)
+    for job in (bad, *harmless):
         assert policy.solo(job, 1.0)
         assert policy.refuse(job, 1.0) is None
-    for job in innocent:
+    for job in harmless:
         policy.on_finish(job, messages.Outcome.DONE, 2.0)
         assert not policy.solo(job, 2.0)
     policy.on_crash(ENDPOINT, [bad], 3.0)
     assert policy.refuse(_job(new_job, "bad"), 3.1) is not None
-    assert all(policy.refuse(job, 3.1) is None for job in innocent)
+    assert all(policy.refuse(job, 3.1) is None for job in harmless)
     assert policy.refuse(bad, 3.0 + quarantine.QUARANTINE_S) is None
 
 
-def test_crashes_in_company_condemn_nobody(policy, new_job):
-    """Engines die one after the other of a power fault, full of requests."""
+def test_crashes_with_several_requests_quarantine_none(policy, new_job):
+    """Engines with several requests fail one by one of a power fault."""
     jobs = [_job(new_job, f"good-{n}") for n in range(3)]
     for number in range(5):
         policy.on_crash(ENDPOINT, jobs, float(number))
@@ -51,9 +49,9 @@
 
 
 def test_resend_through_another_entry_is_refused(policy, context, new_job):
-    """The caller sends the request again and the balancer picks another entry.
+    """The caller resends the request and the balancer picks another entry.
 
-    Without the mark that one would lose an engine of its own to learn it.
+    Without the gossiped fingerprint that entry would lose an engine as well.
     """
     bad = _job(new_job, "bad")
     for now_s in (1.0, 2.0):
@@ -68,8 +66,8 @@
     assert left_s == pytest.approx(quarantine.QUARANTINE_S - 8.0)
 
 
-def test_marks_that_go_round_end(policy, context, new_job):
-    """Two entries that gossip a mark back and forth must not prolong it."""
+def test_gossiped_fingerprints_expire(policy, context, new_job):
+    """Two entries that gossip a fingerprint must not prolong its quarantine."""
     other = quarantine.CrashQuarantine(context)
     for now_s in (1.0, 2.0):
         policy.on_crash(ENDPOINT, [_job(new_job, "bad")], now_s)
@@ -82,7 +80,7 @@
 
 
 def test_tables_are_bounded(policy, new_job):
-    """Engines that die often must not fill the entry's memory."""
+    """Frequent crashes must not exhaust the entry's memory."""
     for number in range(3 * quarantine.TABLE):
         job = _job(new_job, f"job-{number}")
         policy.on_crash(ENDPOINT, [job], 1.0)
--- a/cardamombarrow/decisions/tests/test_retry.py
+++ b/cardamombarrow/decisions/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Budgeted retries, and when refused callers come back."""
+"""Tests of budgeted retries and of retry-after times."""
 
 import dataclasses
 import statistics
@@ -18,9 +18,9 @@
     return retry.BudgetRetry(context)
 
 
-def test_failures_multiply_the_load_by_a_tenth_at_most(policy, new_job):
-    # An endpoint fails whatever it gets. Three runs of every request would
-    # triple the load of the others at the moment when one is missing.
+def test_retries_add_at_most_a_tenth_of_the_load(policy, new_job):
+    # An endpoint fails every request. Three runs of every request would triple
+    # the load of the other endpoints just when one is missing.
     retries = 0
     for _ in range(1000):
         job = new_job("summary", attempts=1)
@@ -40,14 +40,14 @@
         (PREEMPTED, False, False),
     ],
 )
-def test_only_what_may_run_again_does(
+def test_only_repeatable_or_unrun_requests_are_retried(
     policy, new_job, outcome, repeatable, allowed
 ):
     job = new_job(repeatable=repeatable, attempts=1)
     assert policy.may_retry(job, outcome, 0.0) is allowed
 
 
-def test_preempted_run_goes_back_without_delay_or_cost(policy, new_job):
+def test_preempted_run_is_requeued_without_delay_or_cost(policy, new_job):
     job = new_job("letter", attempts=9)
     for _ in range(100):
         assert policy.may_retry(job, PREEMPTED, 0.0)
@@ -55,7 +55,7 @@
     assert policy.may_retry(new_job("letter", attempts=1), CRASHED, 0.0)
 
 
-def test_retries_spread_wider_with_each_attempt(policy, new_job):
+def test_retry_delays_grow_with_each_attempt(policy, new_job):
     means = []
     for attempts in (1, 2, 3):
         job = new_job(attempts=attempts)
@@ -65,7 +65,7 @@
     assert means == sorted(means)
 
 
-def test_time_to_come_back_grows_and_is_spread(policy):
+def test_retry_after_grows_and_is_spread(policy):
     # A wave of refusals that all return after one second is the same wave a
     # second later, and is refused again.
     backlog = messages.Backlog(0, 8, 2.0, 0.5)
@@ -78,20 +78,20 @@
     assert spans[0][1] < spans[1][0] < spans[1][1] < spans[2][0]
 
 
-def test_held_back_job_can_be_withdrawn_and_comes_back_once(
+def test_delayed_job_can_be_withdrawn_and_is_queued_once(
     new_dispatcher, new_job
 ):
-    # Between a failure and its retry the job stands in no queue. A caller
-    # that leaves in that time must not find its request run all the same.
+    # Between a failure and its retry the job is in no queue. If the caller
+    # disconnects in that time, its request must not run.
     dispatcher = new_dispatcher(retry="budget")
-    kept, left = new_job(), new_job()
-    for job in (kept, left):
+    retried, withdrawn = new_job(), new_job()
+    for job in (retried, withdrawn):
         dispatcher.offer(job, 0.0)
     assert len(list(dispatcher.place(0.0))) == 2
-    for job in (kept, left):
+    for job in (retried, withdrawn):
         dispatcher.finish(job.request_id, NOT_STARTED, 0.1)
         assert dispatcher.retry(job, NOT_STARTED, 0.1)
-    assert dispatcher.withdraw(left.request_id)
+    assert dispatcher.withdraw(withdrawn.request_id)
     placed = [p.request_id for p in dispatcher.place(5.0)]
-    assert placed == [kept.request_id]
-    assert not dispatcher.withdraw(left.request_id)
+    assert placed == [retried.request_id]
+    assert not dispatcher.withdraw(withdrawn.request_id)
--- a/cardamombarrow/decisions/tests/test_retry_window.py
+++ b/cardamombarrow/decisions/tests/test_retry_window.py
@@ -1,4 +1,4 @@
-"""What many instances send again stays within one bound."""
+"""Tests that the retries of many instances stay within one bound."""
 
 import dataclasses
 import random
@@ -14,7 +14,7 @@
 
 
 def _instances(context, count):
-    made = [
+    policies = [
         retry.WindowRetry(
             dataclasses.replace(
                 context, retries=_BOUNDS, fleet=fleet.FleetPart()
@@ -22,19 +22,19 @@
         )
         for _ in range(count)
     ]
-    for policy in made:
+    for policy in policies:
         policy.context.fleet.heard(count)
-    return made
+    return policies
 
 
 @pytest.mark.parametrize("count", [1, 7, 80])
 @pytest.mark.parametrize("per_s", [5, 50, 500])
-def test_retries_of_all_instances_keep_the_bound(
+def test_retries_of_all_instances_stay_within_the_bound(
     context, new_job, count, per_s
 ):
     # Every endpoint of a service fails each request. Seven or eighty
-    # instances each try again out of a budget of their own, at the moment
-    # when capacity is short; together they must stay within one bound.
+    # instances each retry within a budget of their own, just when capacity is
+    # short; together they must stay within one bound.
     rng = random.Random(3)
     policies = _instances(context, count)
     arrivals, retries = [], []
@@ -52,17 +52,17 @@
     assert retries
     for begin_s in range(20):
         window = range(begin_s, begin_s + 10)
-        again = sum(int(when_s) in window for when_s in retries)
-        asked = sum(int(when_s) in window for when_s in arrivals)
-        assert again <= _BOUNDS.share * asked + _BOUNDS.slack
+        retried = sum(int(when_s) in window for when_s in retries)
+        arrived = sum(int(when_s) in window for when_s in arrivals)
+        assert retried <= _BOUNDS.share * arrived + _BOUNDS.slack
 
 
-def test_an_instance_that_hears_nobody_does_not_take_the_others_part(
+def test_partitioned_instance_does_not_use_the_parts_of_others(
     context, new_job
 ):
-    # A cut leaves an instance alone. The others are cut off as well and go on
-    # with their parts; were each to take the whole slack, the bound would be
-    # broken by as many times as there are instances.
+    # All instances are partitioned from each other and go on with their parts.
+    # If each used the whole slack, the bound would be exceeded by as many times
+    # as there are instances.
     (policy,) = _instances(context, 1)
     policy.context.fleet.heard(80)
     policy.context.fleet.heard(1)
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize(
     ("runs", "max_runs", "allowed"), [(1, 2, True), (2, 2, False), (9, 0, True)]
 )
-def test_a_request_runs_on_no_more_endpoints_than_its_route_allows(
+def test_request_runs_on_at_most_max_runs_endpoints(
     context, new_job, runs, max_runs, allowed
 ):
     (policy,) = _instances(context, 1)
@@ -94,11 +94,11 @@
         ({"max_runs": 3, "runs": 2}, False),
     ],
 )
-def test_a_run_is_given_up_only_where_another_one_may_follow(
+def test_run_is_cancelled_only_if_it_may_be_retried(
     context, new_job, fields, allowed
 ):
-    # Given up without another run allowed, a request that was only late would
-    # have been failed by the router itself.
+    # Cancelling a request that is only late, without another run allowed,
+    # would make the entry itself fail it.
     (policy,) = _instances(context, 1)
     job = new_job(deadline_s=60.0, attempts=1, **fields)
     assert policy.may_redo(job, 1.0) is allowed
--- a/cardamombarrow/decisions/tests/test_scaling.py
+++ b/cardamombarrow/decisions/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""How many endpoints are wanted, over patterns of work."""
+"""Tests of the number of endpoints over patterns of demand."""
 
 import math
 
@@ -31,12 +31,12 @@
     return wanted
 
 
-def test_before_any_work_what_is_there_stays():
+def test_number_is_unchanged_before_any_demand():
     assert _play(scaling.TargetUtilisation(), [{}] * 30) == _PRESENT
 
 
-def test_the_first_requests_take_no_endpoint_away():
-    # Guards against a service that is cut down as its callers begin to come.
+def test_first_requests_remove_no_endpoint():
+    # Guards against scaling a service down while its callers begin to send.
     scaler = scaling.TargetUtilisation()
     _play(scaler, [{}] * 10)
     for second in range(10, 60):
@@ -46,8 +46,8 @@
         assert wanted == _PRESENT
 
 
-def test_endpoints_that_are_listed_bit_by_bit_are_all_kept():
-    # Guards against a number that is read from half of a list.
+def test_endpoints_that_are_listed_one_by_one_are_all_kept():
+    # Guards against a number taken from an incomplete list.
     scaler = scaling.TargetUtilisation()
     for second, count in enumerate((1, 3, 5, 4, 2)):
         present = dict.fromkeys(_DOMAINS, count)
@@ -55,12 +55,12 @@
     assert wanted == _PRESENT
 
 
-def test_calm_work_gives_endpoints_back():
+def test_low_demand_removes_endpoints():
     wanted = _play(scaling.TargetUtilisation(), [_even(2.0)] * 80)
     assert sum(wanted.values()) < sum(_PRESENT.values())
 
 
-def test_a_burst_is_followed_within_seconds():
+def test_burst_adds_endpoints_within_seconds():
     scaler = scaling.TargetUtilisation()
     _play(scaler, [_even(2.0)] * 80)
     for second in range(81, 85):
@@ -68,8 +68,8 @@
     assert sum(wanted.values()) >= 8.0 / scaling.READING_UTILISATION
 
 
-def test_a_few_long_prompts_order_nothing():
-    # Guards against endpoints ordered for one second's luck.
+def test_few_long_prompts_add_no_endpoint():
+    # Guards against endpoints ordered for a peak of one second.
     scaler = scaling.TargetUtilisation()
     _play(scaler, [_even(4.8)] * 10)
     for tenth in range(10):
@@ -80,7 +80,7 @@
     assert wanted == _PRESENT
 
 
-def test_a_wave_gives_nothing_back_between_its_crests():
+def test_wave_removes_no_endpoint_between_its_peaks():
     # Guards against endpoints that start and stop with every wave of 11 s.
     scaler = scaling.TargetUtilisation()
     totals = []
@@ -94,31 +94,31 @@
 
 
 @pytest.mark.parametrize("lost", _DOMAINS)
-def test_the_loss_of_a_domain_leaves_enough(lost):
-    # Guards against spot ones that are reclaimed all of a domain at once.
+def test_enough_endpoints_remain_after_the_loss_of_a_domain(lost):
+    # Guards against the reclaim of all spot endpoints of a domain at once.
     wanted = _play(scaling.TargetUtilisation(), [_even(4.8)] * 80)
     left = sum(count for domain, count in wanted.items() if domain != lost)
     assert left >= 4.8 / scaling.READING_UTILISATION
 
 
-def test_bounds_hold():
+def test_numbers_stay_within_bounds():
     wanted = _play(scaling.TargetUtilisation(), [_even(100.0)] * 3)
     assert set(wanted.values()) == {10}
     wanted = _play(scaling.TargetUtilisation(), [_even(0.01)] * 140)
     assert set(wanted.values()) == {1}
 
 
-def test_places_count_where_reading_is_cheap():
+def test_slots_decide_where_reading_is_cheap():
     wanted = _play(scaling.TargetUtilisation(), [_even(0.1, running=1_000)] * 3)
     assert sum(wanted.values()) >= 1_000 / 32
 
 
-def test_a_domain_with_many_callers_gets_more():
+def test_domain_with_many_callers_gets_more_endpoints():
     demand = _even(3.0)
     demand[_DOMAINS[0]] = scaling.DomainDemand(3.0, 0.0)
     wanted = _play(scaling.TargetUtilisation(), [demand] * 40)
     assert wanted[_DOMAINS[0]] > wanted[_DOMAINS[1]]
 
 
-def test_the_way_that_never_orders():
+def test_static_scaler_never_orders():
     assert _play(scaling.Unchanged(), [_even(50.0)] * 5) == _PRESENT
--- a/cardamombarrow/decisions/tests/test_scaling_patterns.py
+++ b/cardamombarrow/decisions/tests/test_scaling_patterns.py
@@ -1,4 +1,4 @@
-"""Replays of the worst loads on endpoints that are ordered."""
+"""Tests of autoscaling on simulated load patterns."""
 
 import pytest
 
@@ -11,25 +11,25 @@
     "pattern",
     ["quiet", "wave", "burst x1.7", "a domain reclaimed", "orders late"],
 )
-def test_what_a_day_brings_makes_nothing_late(pattern):
-    # Guards against savings that callers pay for.
+def test_usual_patterns_make_nothing_late(pattern):
+    # Guards against savings that make requests late.
     assert scaling.play(_OURS, scaling.PATTERNS[pattern]).late_share == 0.0
 
 
-def test_a_domain_without_any_to_be_had_makes_nothing_late():
+def test_domain_without_spot_endpoints_makes_nothing_late():
     found = scaling.play(_OURS, scaling.PATTERNS["a domain, none anywhere"])
     assert found.late_share == 0.0
 
 
 @pytest.mark.parametrize("pattern", list(scaling.PATTERNS))
-def test_nothing_costs_more_than_what_never_orders(pattern):
+def test_cost_is_at_most_that_of_a_static_number(pattern):
     never = scaling.WAYS["never orders"]
-    kept = scaling.play(_OURS, scaling.PATTERNS[pattern])
-    before = scaling.play(never, scaling.PATTERNS[pattern])
-    assert kept.price <= before.price
+    ours = scaling.play(_OURS, scaling.PATTERNS[pattern])
+    static = scaling.play(never, scaling.PATTERNS[pattern])
+    assert ours.price <= static.price
 
 
-def test_a_trend_drawn_on_is_late_in_a_wave():
-    # The way that was not kept fails the same check.
+def test_trend_extrapolation_is_late_in_a_wave():
+    # The rejected alternative fails the same check.
     way = scaling.WAYS["trend ahead"]
     assert scaling.play(way, scaling.PATTERNS["wave"]).late_share > 0.1
--- a/cardamombarrow/decisions/tests/test_shares.py
+++ b/cardamombarrow/decisions/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""The split of an endpoint's slots among the instances of a domain."""
+"""Tests of the split of an endpoint's slots among instances."""
 
 import dataclasses
 
@@ -34,7 +34,7 @@
 
 
 def _parts(context, views, limit, state, now_s=0.0):
-    """Returns each instance's share, worked out from its own view."""
+    """Returns each instance's share, computed from its own view."""
     parts = []
     for number, view in enumerate(views):
         instance = ids.InstanceId(f"entry-{number}")
@@ -46,7 +46,7 @@
 
 
 @hypothesis.given(DEMANDS, st.integers(1, 64))
-def test_agreeing_views_add_up_to_the_limit(context, demands, limit):
+def test_consistent_views_add_up_to_the_limit(context, demands, limit):
     view = [_demand(n, value) for n, value in enumerate(demands)]
     views = [view] * len(demands)
     parts = _parts(context, views, limit, _state())
@@ -55,10 +55,10 @@
 
 
 @hypothesis.given(DEMANDS, DEMANDS, st.integers(1, 64))
-def test_late_views_overrun_by_less_than_the_demand_half(
+def test_stale_views_exceed_the_limit_by_less_than_the_demand_half(
     context, now, before, limit
 ):
-    """Each instance knows its own demand now and the others' of before."""
+    """Each instance has its current demand and old demands of the others."""
     count = min(len(now), len(before))
     old = [_demand(n, before[n]) for n in range(count)]
     views = [
@@ -70,11 +70,11 @@
 
 
 @pytest.mark.parametrize("limit", [4, 8, 30])
-def test_instances_cut_off_keep_to_the_limit(context, limit):
-    """A switch dies and no instance hears another any more.
+def test_partitioned_instances_stay_within_the_limit(context, limit):
+    """A switch fails and no instance receives gossip any more.
 
-    If each took the others for gone, each would use all slots and every
-    engine would be overrun by as many times as there are instances.
+    If each dropped the others, each would use all slots and every engine would
+    be overloaded by as many times as there are instances.
     """
     old = [_demand(n, 50 * n, seen_at_s=0.0) for n in range(4)]
     views = [
@@ -89,10 +89,10 @@
     assert max(parts) - min(parts) <= 1
 
 
-def test_few_slots_go_round_among_many_instances(context):
+def test_few_slots_rotate_among_many_instances(context):
     """Twelve instances and one engine of two slots.
 
-    Without turns the same two instances would have the slots for good, and
+    Without rotation the same two instances would always have the slots, and
     the callers of the other ten would never be served.
     """
     served = set()
@@ -104,7 +104,7 @@
     assert served == set(range(12))
 
 
-def test_an_instance_alone_has_all(context):
+def test_single_instance_has_all_slots(context):
     policy = shares.DemandShares(context)
     own = _demand(0, 5)
     assert policy.share(_state(), 8, own, [], 0.0) == 8
--- a/cardamombarrow/decisions/tests/test_tiers.py
+++ b/cardamombarrow/decisions/tests/test_tiers.py
@@ -1,4 +1,4 @@
-"""Preference by tier and reserved shares."""
+"""Tests of priority by tier and of reserved shares."""
 
 import collections
 
@@ -31,11 +31,11 @@
     for state in dispatcher.endpoints():
         if state.endpoint == placement.endpoint:
             return state.running[placement.request_id].job.rank
-    raise AssertionError("it does not run")
+    raise AssertionError("the job does not run")
 
 
 class _Backlog:
-    """Keeps a number of jobs of some classes waiting."""
+    """Keeps a constant number of jobs of each class waiting."""
 
     def __init__(self, dispatcher, new_job, most):
         self._dispatcher = dispatcher
@@ -52,8 +52,8 @@
 
 
 def test_higher_tier_goes_first(new_dispatcher, new_job):
-    # Letters fill the queue over night. In the order of arrival a family's
-    # question would stand behind all of them.
+    # Letters fill the queue over night. In order of arrival a family's
+    # question would wait for all of them.
     dispatcher = new_dispatcher(slots=1, queue="tiered", admission="bounded")
     letters = [new_job("letter") for _ in range(20)]
     chat = new_job("chat", 0.5)
@@ -68,7 +68,7 @@
     new_dispatcher, new_job, slots, reserved
 ):
     # Chat alone could use every slot for an hour. A tenth of two slots is
-    # less than one: rounded down, no letter would ever run.
+    # less than one: if it were rounded down, no letter would ever run.
     dispatcher = new_dispatcher(
         slots=slots, queue="tiered", admission="bounded"
     )
@@ -85,20 +85,18 @@
         assert held[rank] / total == pytest.approx(reserved, abs=0.02)
 
 
-def test_low_tier_takes_all_slots_that_nobody_else_wants(
-    new_dispatcher, new_job
-):
+def test_low_tier_uses_all_slots_without_other_demand(new_dispatcher, new_job):
     dispatcher = new_dispatcher(slots=4, queue="tiered", admission="bounded")
     for _ in range(9):
         dispatcher.offer(new_job("letter"), 0.0)
     assert len(list(dispatcher.place(0.0))) == 8
 
 
-def test_low_tier_is_not_starved_after_it_held_everything(
+def test_low_tier_is_not_starved_after_it_used_all_slots(
     new_dispatcher, new_job
 ):
-    # Letters have all slots when a burst of chat begins. Were all those slots
-    # counted against them, no letter would run for minutes.
+    # Letters use all slots when a burst of chat begins. If all those slots were
+    # charged to them, no letter would run for minutes.
     dispatcher = new_dispatcher(slots=4, queue="tiered", admission="bounded")
     for _ in range(8):
         dispatcher.offer(new_job("letter", deadline_s=1e9), 0.0)
