--- a/cardamombarrow/decisions/admission.py
+++ b/cardamombarrow/decisions/admission.py
@@ -75,7 +75,7 @@
 class _DeadlineAdmission(base.Admission):
     """Common base: the waiting bound and the deadline check."""
 
-    def waiting_bound(self) -> int:
+    def max_waiting(self) -> int:
         """Returns `WAITING_BOUND`."""
         return WAITING_BOUND
 
@@ -87,7 +87,7 @@
             return "it can no longer be answered by its deadline"
         return None
 
-    def look_s(
+    def next_check_s(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> float:
         """Returns the latest time at which the job could be started."""
@@ -122,7 +122,7 @@
             return None
         return _too_late(job, backlog, WAITING_FACTOR, now_s)
 
-    def look_s(
+    def next_check_s(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> float:
         """Returns the time of the next check, or the latest start."""
--- a/cardamombarrow/decisions/base.py
+++ b/cardamombarrow/decisions/base.py
@@ -19,13 +19,13 @@
     "Admission",
     "Choice",
     "Estimate",
+    "FreeSlots",
     "Limits",
     "Policy",
     "PreemptionPolicy",
     "Quarantine",
     "Queue",
     "Retry",
-    "Room",
     "Shares",
     "Spill",
 ]
@@ -45,7 +45,7 @@
         self.document = document
 
 
-class Room(abc.ABC):
+class FreeSlots(abc.ABC):
     """The slots on which a queued job could run now."""
 
     @abc.abstractmethod
@@ -75,7 +75,7 @@
         """Removes a job without serving it."""
 
     @abc.abstractmethod
-    def take(self, free_slots: Room, now_s: float) -> messages.Job | None:
+    def take(self, free_slots: FreeSlots, now_s: float) -> messages.Job | None:
         """Removes and returns the next job that has a free slot, or None."""
 
     @abc.abstractmethod
@@ -110,7 +110,7 @@
         """Returns the ranks with queued jobs, if the queue has tiers."""
         return ()
 
-    def leaders(
+    def head_jobs(
         self, service: ids.ServiceId
     ) -> collections_abc.Iterable[messages.Job]:
         """Returns the first jobs of the highest waiting tier, in order.
@@ -142,13 +142,13 @@
         """Returns why a waiting job is given up, or None if it may wait."""
         return "deadline passed" if now_s >= job.deadline_s else None
 
-    def look_s(
+    def next_check_s(
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> float:
         """Returns when `give_up` has to be called next for a job."""
         return job.deadline_s
 
-    def waiting_bound(self) -> int:
+    def max_waiting(self) -> int:
         """Returns the maximum number of requests waiting in an instance."""
         return UNBOUNDED
 
@@ -182,13 +182,13 @@
     """Selects the endpoint of a job.
 
     Attributes:
-        displaces: Whether a full endpoint may be sent a more urgent job,
+        engine_preempts: Whether a full endpoint may be sent a more urgent job,
             because its engine preempts a less urgent one by itself.
     """
 
-    displaces = False
+    engine_preempts = False
 
-    def consider(
+    def prepare(
         self,
         job: messages.Job,
         states: list[endpoint_module.EndpointState],
@@ -196,7 +196,7 @@
     ) -> None:
         """Prepares for `available` calls on the endpoints of a service."""
 
-    def patience_s(self, job: messages.Job) -> float | None:
+    def recheck_after_s(self, job: messages.Job) -> float | None:
         """Returns the wait after which `available` may change, or None."""
         return None
 
@@ -218,7 +218,7 @@
     ) -> tuple[endpoint_module.EndpointState, str]:
         """Returns one of the candidates (never empty) and the reason."""
 
-    def placed_elsewhere(
+    def on_remote_placement(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
@@ -324,7 +324,7 @@
     ) -> None:
         """Handles the crash of an endpoint that ran these jobs."""
 
-    def solo(self, job: messages.Job, now_s: float) -> bool:
+    def must_run_alone(self, job: messages.Job, now_s: float) -> bool:
         """Returns whether a job may only run alone on an endpoint."""
         return False
 
@@ -375,7 +375,7 @@
 class PreemptionPolicy(Policy):
     """Selects a running request to preempt for a waiting one."""
 
-    def danger_s(self, job: messages.Job) -> float | None:
+    def preemption_check_s(self, job: messages.Job) -> float | None:
         """Returns when a waiting job may need a preemption, or None."""
         return None
 
--- a/cardamombarrow/decisions/baselines.py
+++ b/cardamombarrow/decisions/baselines.py
@@ -51,7 +51,9 @@
             self._by_service[job.service] -= 1
         return job
 
-    def take(self, free_slots: base.Room, now_s: float) -> messages.Job | None:
+    def take(
+        self, free_slots: base.FreeSlots, now_s: float
+    ) -> messages.Job | None:
         """Removes the oldest job; without a free slot it blocks later ones."""
         blocked = set()
         for job in self._jobs.values():
--- a/cardamombarrow/decisions/caches.py
+++ b/cardamombarrow/decisions/caches.py
@@ -30,7 +30,7 @@
         self._leading: dict[ids.EndpointId, int] = {}
         self._domains: dict[ids.EndpointId, ids.DomainId] = {}
 
-    def consider(
+    def prepare(
         self,
         job: messages.Job,
         states: list[endpoint_module.EndpointState],
--- a/cardamombarrow/decisions/core.py
+++ b/cardamombarrow/decisions/core.py
@@ -106,7 +106,7 @@
         reason = _rate_limit_reason(job, backlog)
         if reason is None:
             reason = self._policies.admission.refuse(job, backlog, now_s)
-        bound = self._policies.admission.waiting_bound()
+        bound = self._policies.admission.max_waiting()
         if reason is None and len(self._waiting) >= bound:
             reason = self._make_room(job, now_s)
         if reason is None:
@@ -144,14 +144,16 @@
         self._policies.queue.push(job, now_s)
         self._waiting.queued(job)
         self._roster.changed.add(job.service)
-        look_s = self._policies.admission.look_s(job, backlog, now_s)
-        self._waiting.look_at(job, look_s)
-        danger_s = self._policies.preemption.danger_s(job)
-        if danger_s is not None:
-            self._waiting.alarm(job, danger_s)
-        patience_s = self._policies.choice.patience_s(job)
-        if patience_s is not None:
-            self._waiting.alarm(job, now_s + patience_s)
+        next_check_s = self._policies.admission.next_check_s(
+            job, backlog, now_s
+        )
+        self._waiting.look_at(job, next_check_s)
+        preemption_check_s = self._policies.preemption.preemption_check_s(job)
+        if preemption_check_s is not None:
+            self._waiting.alarm(job, preemption_check_s)
+        recheck_after_s = self._policies.choice.recheck_after_s(job)
+        if recheck_after_s is not None:
+            self._waiting.alarm(job, now_s + recheck_after_s)
 
     # -- placement by another instance ----------------------------------------
 
@@ -164,7 +166,9 @@
         """
         reachable = self._roster.reachable(job.service)
         is_remote = job.streams or self._roster.rate_budget.has_limit(reachable)
-        return is_remote and not self._policies.quarantine.solo(job, now_s)
+        return is_remote and not self._policies.quarantine.must_run_alone(
+            job, now_s
+        )
 
     def announce(
         self, job: messages.Job, now_s: float
@@ -192,7 +196,7 @@
         if state is None or state.leaving:
             return False
         job = self._awaiting_remote.pop(request_id)
-        self._policies.choice.placed_elsewhere(job, state, now_s)
+        self._policies.choice.on_remote_placement(job, state, now_s)
         self._run(job, state, now_s)
         return True
 
@@ -254,7 +258,7 @@
         for job in self._waiting.due_alarms(now_s):
             self._roster.changed.add(job.service)
         self._roster.changed.update(self._roster.rate_budget.due(now_s))
-        free_slots = roster.Room(self._roster, self.backlog, now_s)
+        free_slots = roster.FreeSlots(self._roster, self.backlog, now_s)
         while True:
             job = self._policies.queue.take(free_slots, now_s)
             if job is None:
@@ -274,9 +278,9 @@
             if reason is None and math.isinf(backlog.limit_wait_s):
                 reason = _rate_limit_reason(job, backlog)
             if reason is None:
-                look_s = admission.look_s(job, backlog, now_s)
+                next_check_s = admission.next_check_s(job, backlog, now_s)
                 self._waiting.look_at(
-                    job, max(look_s, now_s + MIN_CHECK_INTERVAL_S)
+                    job, max(next_check_s, now_s + MIN_CHECK_INTERVAL_S)
                 )
                 continue
             self._policies.queue.remove(job.request_id)
@@ -306,8 +310,8 @@
         prevents several preemptions for one waiting job.
         """
         capacity = self._roster.capacities[service]
-        leaders = self._policies.queue.leaders(service)
-        for number, job in enumerate(leaders):
+        head_jobs = self._policies.queue.head_jobs(service)
+        for number, job in enumerate(head_jobs):
             if number < capacity.preempting:
                 continue
             victim = self._policies.preemption.victim(
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -120,7 +120,7 @@
 class FirstEventChoice(weighed.WeighedChoice):
     """Least expected time to the first event, over all candidates."""
 
-    displaces = True
+    engine_preempts = True
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -188,7 +188,7 @@
             return share * target_s if is_quiet else 0.0
         return 0.0 if is_quiet else SHORT_CROSSING_S
 
-    def consider(
+    def prepare(
         self,
         job: messages.Job,
         states: list[endpoint_module.EndpointState],
@@ -197,9 +197,9 @@
         """Notes home and keepers of a job among all endpoints."""
         home = self._home(job, states, now_s) if states else None
         self._considered = job.request_id, home and home.endpoint
-        self._caches.consider(job, states, now_s)
+        self._caches.prepare(job, states, now_s)
 
-    def patience_s(self, job: messages.Job) -> float | None:
+    def recheck_after_s(self, job: messages.Job) -> float | None:
         """Returns how long a long prompt waits for an engine that suits it."""
         if not job.prefix_key:
             return None
@@ -238,8 +238,8 @@
         request_id, home = self._considered
         if request_id != job.request_id or home in (None, state.endpoint):
             return True
-        patience_s = self.patience_s(job) or 0.0
-        return now_s - job.arrived_s >= patience_s
+        recheck_after_s = self.recheck_after_s(job) or 0.0
+        return now_s - job.arrived_s >= recheck_after_s
 
     def configure(self, document: schema.Document) -> None:
         """Takes the shortest pause of a newer document."""
@@ -263,7 +263,7 @@
         job.unread_tokens = max(unread - fetched, 0.0)
         self._caches.sent(job, state.endpoint, now_s)
 
-    def placed_elsewhere(
+    def on_remote_placement(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
--- a/cardamombarrow/decisions/preemption.py
+++ b/cardamombarrow/decisions/preemption.py
@@ -59,7 +59,7 @@
         super().configure(document)
         self._tiers = _by_rank(document)
 
-    def danger_s(self, job: messages.Job) -> float:
+    def preemption_check_s(self, job: messages.Job) -> float:
         """Returns when a waiting job's target is in danger."""
         return job.arrived_s + DANGER_SHARE * job.target_first_token_s
 
@@ -70,7 +70,7 @@
         now_s: float,
     ) -> messages.Running | None:
         """Returns the request that costs least, or None."""
-        if now_s < self.danger_s(job):
+        if now_s < self.preemption_check_s(job):
             return None
         running = [
             item
--- a/cardamombarrow/decisions/quarantine.py
+++ b/cardamombarrow/decisions/quarantine.py
@@ -5,10 +5,10 @@
 down every engine of a domain, together with the other requests on it.
 
 All requests on an engine that crashes are suspects, most of them harmless. A
-suspect runs alone from then on (`solo`): if it completes, it is cleared; if the
-engine crashes again while it is the only request of this instance on it, its
-fingerprint is quarantined for a time and spread by gossip. A second crash with
-other requests on the engine quarantines none of them.
+suspect runs alone from then on (`must_run_alone`): if it completes, it is
+cleared; if the engine crashes again while it is the only request of this
+instance on it, its fingerprint is quarantined for a time and spread by gossip.
+A second crash with other requests on the engine quarantines none of them.
 
 The quarantine outlasts a caller's resends, and is short enough that a fixed
 engine serves the same body again. The tables are bounded and drop the oldest.
@@ -58,7 +58,7 @@
         left_s = until_s - now_s
         return f"it crashed endpoints; quarantined for {left_s:.0f} s more"
 
-    def solo(self, job: messages.Job, now_s: float) -> bool:
+    def must_run_alone(self, job: messages.Job, now_s: float) -> bool:
         """Returns whether a job is a suspect."""
         return bool(self._suspects) and self._is_suspect(job, now_s)
 
--- a/cardamombarrow/decisions/roster.py
+++ b/cardamombarrow/decisions/roster.py
@@ -17,7 +17,7 @@
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
-__all__ = ["Backlog", "Room", "Roster"]
+__all__ = ["Backlog", "FreeSlots", "Roster"]
 
 PEER_VIEW_MAX_AGE_S = 600.0
 """A peer without news for this long no longer counts.
@@ -290,10 +290,12 @@
         that the job has not failed on has a slot.
         """
         capacity = self.capacities[job.service]
-        solo = self._policies.quarantine.solo(job, now_s)
-        self._policies.choice.consider(job, capacity.local, now_s)
+        must_run_alone = self._policies.quarantine.must_run_alone(job, now_s)
+        self._policies.choice.prepare(job, capacity.local, now_s)
         local = [
-            s for s in capacity.local if self._accepts(job, s, solo, now_s)
+            s
+            for s in capacity.local
+            if self._accepts(job, s, must_run_alone, now_s)
         ]
         untried = [s for s in local if s.endpoint not in job.tried]
         if untried or not capacity.remote:
@@ -302,7 +304,7 @@
         remote = [
             state
             for state in capacity.remote
-            if self._accepts(job, state, solo, now_s)
+            if self._accepts(job, state, must_run_alone, now_s)
             and self._policies.spill.allow(job, state, ahead, now_s)
         ]
         return (
@@ -315,7 +317,7 @@
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
-        solo: bool,
+        must_run_alone: bool,
         now_s: float,
     ) -> bool:
         running = state.running
@@ -325,12 +327,12 @@
             return False
         if not self.rate_budget.may_send(state, now_s):
             return False
-        if solo:
+        if must_run_alone:
             return not running
         if len(running) != 1:
             return True
         only = next(iter(running.values())).job
-        return not self._policies.quarantine.solo(only, now_s)
+        return not self._policies.quarantine.must_run_alone(only, now_s)
 
     def _unavailable_slots(
         self, job: messages.Job, state: endpoint_module.EndpointState
@@ -341,13 +343,13 @@
         enough to have one of them preempted. If all requests are known, an
         urgent one need not wait until a long answer has ended.
         """
-        displaces = self._policies.choice.displaces and job.streams
-        if self._context.whole_domain and displaces:
+        engine_preempts = self._policies.choice.engine_preempts and job.streams
+        if self._context.whole_domain and engine_preempts:
             return state.held_against(job.rank)
         return state.known_running
 
 
-class Room(base.Room):
+class FreeSlots(base.FreeSlots):
     """The dispatcher's free slots at one time."""
 
     def __init__(
--- a/cardamombarrow/decisions/runs.py
+++ b/cardamombarrow/decisions/runs.py
@@ -63,7 +63,7 @@
             return False
         self._waiting.enter(job)
         self._roster.rate_budget.spend(state, now_s)
-        self._policies.choice.placed_elsewhere(job, state, now_s)
+        self._policies.choice.on_remote_placement(job, state, now_s)
         running = self._run(job, state, placed_s)
         if begun:
             running.first_token_s = now_s
--- a/cardamombarrow/decisions/tests/test_admission.py
+++ b/cardamombarrow/decisions/tests/test_admission.py
@@ -66,7 +66,7 @@
     backlog = _backlog(service_s=2.0, tier_waiting=0)
     assert predicted.give_up(job, backlog, job.deadline_s - 2.1) is None
     assert predicted.give_up(job, backlog, job.deadline_s - 1.9)
-    assert predicted.look_s(job, backlog, 19.0) == job.deadline_s - 2.0
+    assert predicted.next_check_s(job, backlog, 19.0) == job.deadline_s - 2.0
 
 
 def test_long_estimate_causes_no_refusal_while_slots_are_idle(
--- a/cardamombarrow/decisions/tests/test_first_event.py
+++ b/cardamombarrow/decisions/tests/test_first_event.py
@@ -112,8 +112,10 @@
         """Lets first events come and waiting requests be looked at."""
         while True:
             due = min(self._firsts, default=(math.inf, ""))
-            look_s = self.dispatcher.next_s()
-            now_s = min(due[0], math.inf if look_s is None else look_s)
+            next_check_s = self.dispatcher.next_s()
+            now_s = min(
+                due[0], math.inf if next_check_s is None else next_check_s
+            )
             if now_s > until_s:
                 return
             if due[0] <= now_s:
--- a/cardamombarrow/decisions/tests/test_quarantine.py
+++ b/cardamombarrow/decisions/tests/test_quarantine.py
@@ -29,11 +29,11 @@
     harmless = [_job(new_job, f"good-{n}") for n in range(5)]
     policy.on_crash(ENDPOINT, [bad, *harmless], 1.0)
     for job in (bad, *harmless):
-        assert policy.solo(job, 1.0)
+        assert policy.must_run_alone(job, 1.0)
         assert policy.refuse(job, 1.0) is None
     for job in harmless:
         policy.on_finish(job, messages.Outcome.DONE, 2.0)
-        assert not policy.solo(job, 2.0)
+        assert not policy.must_run_alone(job, 2.0)
     policy.on_crash(ENDPOINT, [bad], 3.0)
     assert policy.refuse(_job(new_job, "bad"), 3.1) is not None
     assert all(policy.refuse(job, 3.1) is None for job in harmless)
--- a/cardamombarrow/decisions/tiers.py
+++ b/cardamombarrow/decisions/tiers.py
@@ -85,7 +85,7 @@
 
     def take(
         self,
-        free_slots: base.Room,
+        free_slots: base.FreeSlots,
         capacity: capacity_module.Capacity,
         shares: dict[int, float],
         now_s: float,
@@ -107,7 +107,7 @@
     def _take_by_priority(
         self,
         waiting: list[int],
-        free_slots: base.Room,
+        free_slots: base.FreeSlots,
         capacity: capacity_module.Capacity,
         reserved: dict[int, float],
         now_s: float,
@@ -124,7 +124,7 @@
     def _take_from(
         self,
         rank: int,
-        free_slots: base.Room,
+        free_slots: base.FreeSlots,
         capacity: capacity_module.Capacity,
     ) -> messages.Job | None:
         tier = self.tiers[rank]
@@ -138,7 +138,7 @@
         return self._take_past_blocked(tier, free_slots)
 
     def _take_past_blocked(
-        self, tier: fairness.FairQueue, free_slots: base.Room
+        self, tier: fairness.FairQueue, free_slots: base.FreeSlots
     ) -> messages.Job | None:
         """Returns the first job behind those that fit no free slot, or None.
 
@@ -259,7 +259,9 @@
             queue.counts[job.rank][job.class_id] -= 1
         return job
 
-    def take(self, free_slots: base.Room, now_s: float) -> messages.Job | None:
+    def take(
+        self, free_slots: base.FreeSlots, now_s: float
+    ) -> messages.Job | None:
         """Removes the next job; considers only services with changes."""
         services = free_slots.services()
         for service in self._services if services is None else services:
@@ -327,7 +329,7 @@
         queue = self._services.get(service)
         return queue.waiting() if queue else ()
 
-    def leaders(self, service: ids.ServiceId) -> abc.Iterable[messages.Job]:
+    def head_jobs(self, service: ids.ServiceId) -> abc.Iterable[messages.Job]:
         """Returns the first jobs of the highest waiting tier."""
         queue = self._services.get(service)
         waiting = queue.waiting() if queue else []
--- a/cardamombarrow/decisions/waiting.py
+++ b/cardamombarrow/decisions/waiting.py
@@ -62,9 +62,9 @@
         """Records that a job has left the queue for an endpoint."""
         del self._jobs[job.request_id]
 
-    def look_at(self, job: messages.Job, look_s: float) -> None:
+    def look_at(self, job: messages.Job, next_check_s: float) -> None:
         """Schedules the next check of a waiting job."""
-        heapq.heappush(self._checks, (look_s, next(self._numbers), job))
+        heapq.heappush(self._checks, (next_check_s, next(self._numbers), job))
 
     def due_looks(self, now_s: float) -> abc.Iterator[messages.Job]:
         """Yields the jobs that still wait and whose check is due."""
