--- a/benchmarks/driver.py
+++ b/benchmarks/driver.py
@@ -374,7 +374,7 @@
         entry: int,
         demand: messages.PeerDemand,
         marks: dict[ids.Fingerprint, float],
-        news: list[messages.KeptNews],
+        news: list[messages.CacheAnnouncement],
     ) -> None:
         demand = dataclasses.replace(demand, seen_at_s=self._now_s)
         for number, other in enumerate(self._entries):
--- a/cardamombarrow/decisions/base.py
+++ b/cardamombarrow/decisions/base.py
@@ -235,12 +235,16 @@
         """Returns where the endpoint fetches the prompt's prefix from."""
         return None
 
-    def take_news(self, now_s: float) -> list[messages.KeptNews]:
+    def take_announcements(
+        self, now_s: float
+    ) -> list[messages.CacheAnnouncement]:
         """Returns changes in the engines' caches for other instances."""
         return []
 
-    def hear(
-        self, news: collections_abc.Iterable[messages.KeptNews], now_s: float
+    def merge_announcements(
+        self,
+        news: collections_abc.Iterable[messages.CacheAnnouncement],
+        now_s: float,
     ) -> None:
         """Applies changes in engines' caches from other instances."""
 
--- a/cardamombarrow/decisions/core.py
+++ b/cardamombarrow/decisions/core.py
@@ -354,7 +354,7 @@
             else now_s - state.report.measured_at_s,
             fetch=fetch,
             limit_per_s=limit and limit.per_s,
-            limit_age_s=limit and now_s - limit.heard_s,
+            limit_age_s=limit and now_s - limit.received_s,
         )
 
     def retry(
--- a/cardamombarrow/decisions/endpoint.py
+++ b/cardamombarrow/decisions/endpoint.py
@@ -31,7 +31,7 @@
     )
     share: int = 0
     report: messages.LoadReport | None = None
-    others: dict[ids.InstanceId, messages.OthersLoad] = dataclasses.field(
+    others: dict[ids.InstanceId, messages.PeerLoad] = dataclasses.field(
         default_factory=dict
     )
 
@@ -95,14 +95,14 @@
         )
         return sum(max(each_s, 0.0) for each_s in left_s)
 
-    def own_load(self, now_s: float) -> messages.OthersLoad:
+    def own_load(self, now_s: float) -> messages.PeerLoad:
         """Returns what this instance has on it, to be told to others."""
         unread = [
             run.job.unread_tokens
             for run in self.running.values()
             if run.first_token_s is None
         ]
-        return messages.OthersLoad(
+        return messages.PeerLoad(
             tuple(sorted(run.job.rank for run in self.running.values())),
             len(unread),
             sum(unread),
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -305,15 +305,19 @@
         """Returns where the endpoint just chosen fetches from."""
         return self._fetch
 
-    def take_news(self, now_s: float) -> list[messages.KeptNews]:
+    def take_announcements(
+        self, now_s: float
+    ) -> list[messages.CacheAnnouncement]:
         """Returns parts that were read of late, for the other instances."""
-        return self._caches.parts.take_news(now_s)
+        return self._caches.parts.take_announcements(now_s)
 
-    def hear(
-        self, news: collections_abc.Iterable[messages.KeptNews], now_s: float
+    def merge_announcements(
+        self,
+        news: collections_abc.Iterable[messages.CacheAnnouncement],
+        now_s: float,
     ) -> None:
         """Takes parts that other instances had read."""
-        self._caches.parts.hear(news, now_s)
+        self._caches.parts.merge_announcements(news, now_s)
 
     def cost_s(
         self,
--- a/cardamombarrow/decisions/kept.py
+++ b/cardamombarrow/decisions/kept.py
@@ -8,8 +8,8 @@
 all. Without this module each engine reads the beginnings anew.
 
 What is known: every instance notes what it sends and tells the others what is
-new in it; see `KeptNews`. An engine can drop a part without anybody hearing of
-it, and may not have read it yet, so this is a hint. What an engine does not
+new in it; see `CacheAnnouncement`. An engine can drop a part without anybody
+hearing of it, and may not have read it yet, so this is a hint. What an engine does not
 keep it reads; a wrong hint costs the saving and nothing else. Asking the
 engines themselves would be exact, but costs calls for each engine, domain and
 second, while this grows with the new places of parts only.
@@ -126,7 +126,9 @@
                 leading[endpoint] = leading.get(endpoint, 0) + part.tokens
         return leading
 
-    def take_news(self, now_s: float) -> list[messages.KeptNews]:
+    def take_announcements(
+        self, now_s: float
+    ) -> list[messages.CacheAnnouncement]:
         """Returns what the other instances were not told yet, by engine."""
         news, self._news = self._news, {}
         by_endpoint: dict[ids.EndpointId, list[int]] = {}
@@ -142,11 +144,13 @@
             if now_s - told_s < RETELL_S
         }
         return [
-            messages.KeptNews(endpoint, tuple(keys), now_s - oldest_s)
+            messages.CacheAnnouncement(endpoint, tuple(keys), now_s - oldest_s)
             for endpoint, keys in by_endpoint.items()
         ]
 
-    def hear(self, news: abc.Iterable[messages.KeptNews], now_s: float) -> None:
+    def merge_announcements(
+        self, news: abc.Iterable[messages.CacheAnnouncement], now_s: float
+    ) -> None:
         """Takes what other instances have told."""
         for each in news:
             for key in each.parts:
--- a/cardamombarrow/decisions/knowledge.py
+++ b/cardamombarrow/decisions/knowledge.py
@@ -106,15 +106,15 @@
         """Returns what this instance asks for, to be gossiped."""
         return self._roster.demand(self._waiting.demand, now_s)
 
-    def kept_news(self, now_s: float) -> list[messages.KeptNews]:
+    def kept_news(self, now_s: float) -> list[messages.CacheAnnouncement]:
         """Returns what is new about engines' caches, for the others."""
-        return self._policies.choice.take_news(now_s)
+        return self._policies.choice.take_announcements(now_s)
 
     def hear_kept(
-        self, news: abc.Iterable[messages.KeptNews], now_s: float
+        self, news: abc.Iterable[messages.CacheAnnouncement], now_s: float
     ) -> None:
         """Takes what other instances know of engines' caches."""
-        self._policies.choice.hear(news, now_s)
+        self._policies.choice.merge_announcements(news, now_s)
 
     def quarantine_marks(self, now_s: float) -> dict[ids.Fingerprint, float]:
         """Returns quarantined fingerprints and seconds left, for gossip."""
@@ -129,7 +129,7 @@
     def set_others(
         self,
         instance: ids.InstanceId,
-        loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
+        loads: abc.Mapping[ids.EndpointId, messages.PeerLoad],
     ) -> None:
         """Takes what another deciding instance has on some endpoints."""
         self._roster.set_others(instance, loads)
@@ -140,7 +140,7 @@
 
     def own_loads(
         self, now_s: float
-    ) -> dict[ids.EndpointId, messages.OthersLoad]:
+    ) -> dict[ids.EndpointId, messages.PeerLoad]:
         """Returns what this instance has on endpoints, to be told."""
         return {
             state.endpoint: state.own_load(now_s)
--- a/cardamombarrow/decisions/messages.py
+++ b/cardamombarrow/decisions/messages.py
@@ -8,15 +8,15 @@
 
 __all__ = [
     "Backlog",
+    "CacheAnnouncement",
     "Decision",
     "Fetch",
     "Job",
-    "KeptNews",
     "KnownEndpoint",
     "LoadReport",
-    "OthersLoad",
     "Outcome",
     "PeerDemand",
+    "PeerLoad",
     "Placement",
     "Preemption",
     "PromptPart",
@@ -155,11 +155,11 @@
     Attributes:
         per_s: Requests per second from all instances together; None if the
             endpoint states no limit.
-        heard_s: When the answer arrived, on this instance's clock.
+        received_s: When the answer arrived, on this instance's clock.
     """
 
     per_s: float | None
-    heard_s: float
+    received_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -193,7 +193,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OthersLoad:
+class PeerLoad:
     """The requests of another deciding instance on an endpoint.
 
     Attributes:
@@ -243,11 +243,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptNews:
+class CacheAnnouncement:
     """Prompt parts that an engine has cached, sent to other instances.
 
     Attributes:
-        parts: Their keys; see `kept.part_key`.
+        parts: Keys of the parts in the cache directory.
         age_s: Longest time since one of them was read or used.
     """
 
--- a/cardamombarrow/decisions/rate_limits.py
+++ b/cardamombarrow/decisions/rate_limits.py
@@ -154,8 +154,8 @@
             if known is None:
                 if limit.per_s is None:
                     return None
-                known = messages.RateLimit(None, limit.heard_s)
-            elif limit.heard_s < known.heard_s:
+                known = messages.RateLimit(None, limit.received_s)
+            elif limit.received_s < known.received_s:
                 return None
             self._keep(endpoint, limit, first_hand)
             return known if known.per_s != limit.per_s else None
@@ -202,7 +202,7 @@
             return {
                 endpoint: limit
                 for endpoint, limit in self._first_hand.items()
-                if limit.per_s is not None or now_s - limit.heard_s < TOLD_S
+                if limit.per_s is not None or now_s - limit.received_s < TOLD_S
             }
 
     # -- what is sent ---------------------------------------------------------
--- a/cardamombarrow/decisions/roster.py
+++ b/cardamombarrow/decisions/roster.py
@@ -228,7 +228,7 @@
     def set_others(
         self,
         instance: ids.InstanceId,
-        loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
+        loads: abc.Mapping[ids.EndpointId, messages.PeerLoad],
     ) -> None:
         """Records the load of another deciding instance on endpoints."""
         for endpoint, load in loads.items():
--- a/cardamombarrow/decisions/tests/test_kept.py
+++ b/cardamombarrow/decisions/tests/test_kept.py
@@ -59,7 +59,7 @@
     key = kept.part_key("one")
     one.note(key, _A, 5.0)
     one.tell(key, _A, 5.0)
-    other.hear(one.take_news(5.5), 105.0)
+    other.merge_announcements(one.take_announcements(5.5), 105.0)
     assert other.used_s(key, _A) == pytest.approx(104.5)
 
 
@@ -71,19 +71,19 @@
     told = 0
     for step in range(100):
         one.tell(key, _A, 0.05 * step)
-        told += len(one.take_news(0.05 * step))
+        told += len(one.take_announcements(0.05 * step))
     assert told == 1
     one.tell(key, _A, kept.RETELL_S + 0.1)
-    assert one.take_news(kept.RETELL_S + 0.1)
+    assert one.take_announcements(kept.RETELL_S + 0.1)
 
 
 def test_what_was_heard_is_not_told_on():
     # It would go round between the instances for ever.
     one = kept.KeptParts()
     key = kept.part_key("one")
-    one.hear([messages.KeptNews(_A, (key,), 0.0)], 1.0)
+    one.merge_announcements([messages.CacheAnnouncement(_A, (key,), 0.0)], 1.0)
     one.tell(key, _A, 2.0)
-    assert not one.take_news(2.0)
+    assert not one.take_announcements(2.0)
 
 
 def test_what_is_remembered_and_told_is_bounded():
@@ -92,7 +92,7 @@
         parts.note(step, _A, float(step))
         parts.tell(step, _A, float(step))
     now_s = 2.0 * kept.PARTS
-    (news,) = parts.take_news(now_s)
+    (news,) = parts.take_announcements(now_s)
     assert len(news.parts) == kept.NEWS
     known = [key for key in range(2 * kept.PARTS) if parts.used_s(key, _A)]
     assert len(known) == kept.PARTS
--- a/cardamombarrow/decisions/tests/test_others_load.py
+++ b/cardamombarrow/decisions/tests/test_others_load.py
@@ -26,8 +26,8 @@
 
 def test_reading_that_others_gave_it_passes_with_time():
     state = _state()
-    state.others[_PEER] = messages.OthersLoad((0, 0), 2, 10_000.0, 100.0)
-    state.others[_OTHER] = messages.OthersLoad((0,), 1, 1_000.0, 100.0)
+    state.others[_PEER] = messages.PeerLoad((0, 0), 2, 10_000.0, 100.0)
+    state.others[_OTHER] = messages.PeerLoad((0,), 1, 1_000.0, 100.0)
     token_s = 0.0001
     assert state.others_reading_s(token_s, 100.0) == pytest.approx(1.1)
     assert state.others_reading_s(token_s, 100.5) == pytest.approx(0.5)
@@ -81,13 +81,11 @@
     # A burst in the next domain fills engines here. Placed on them too, the
     # requests of both wait inside the engine, where no urgent one overtakes.
     full, *others = many_entries.ENDPOINTS
-    loads = {
-        each: messages.OthersLoad((0,) * 12, 0, 0.0, 0.0) for each in others
-    }
+    loads = {each: messages.PeerLoad((0,) * 12, 0, 0.0, 0.0) for each in others}
     dispatcher.set_others(_PEER, loads)
     assert _place(dispatcher, 1) == [full]
     dispatcher.set_others(
-        _PEER, {full: messages.OthersLoad((0,) * 12, 0, 0.0, 0.0)}
+        _PEER, {full: messages.PeerLoad((0,) * 12, 0, 0.0, 0.0)}
     )
     assert _place(dispatcher, 2) == []
     dispatcher.forget_others(_PEER)
@@ -97,7 +95,7 @@
 def test_an_endpoint_that_reads_for_others_is_passed_over(dispatcher):
     free = many_entries.ENDPOINTS[3]
     loads = {
-        each: messages.OthersLoad((0,), 1, 50_000.0, 0.0)
+        each: messages.PeerLoad((0,), 1, 50_000.0, 0.0)
         for each in many_entries.ENDPOINTS
         if each != free
     }
@@ -132,7 +130,7 @@
     # Long digests hold every place for seconds. A runner's question that
     # waits until one of them ends is late; the engine would put one back.
     full = dict.fromkeys(
-        many_entries.ENDPOINTS, messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
+        many_entries.ENDPOINTS, messages.PeerLoad((2,) * 12, 0, 0.0, 0.0)
     )
     dispatcher.set_others(_PEER, full)
     assert dispatcher.offer(_long(1), 0.0) is None
@@ -145,9 +143,9 @@
     # the reading of its prompt, to take the free place costs nothing.
     places = [(driver.DOMAIN, each) for each in many_entries.ENDPOINTS]
     free = min(lanes.quiet_endpoints(places))
-    digests = messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
+    digests = messages.PeerLoad((2,) * 12, 0, 0.0, 0.0)
     loads = dict.fromkeys(many_entries.ENDPOINTS, digests)
-    loads[free] = messages.OthersLoad((2,) * 11, 1, 3_000.0, 0.0)
+    loads[free] = messages.PeerLoad((2,) * 11, 1, 3_000.0, 0.0)
     dispatcher.set_others(_PEER, loads)
     assert _place(dispatcher, 1) == [free]
 
@@ -157,7 +155,7 @@
     # Handed an urgent request all the same, they make it late or lose it.
     dispatcher = _whole_domain(choice="two-candidates")
     full = dict.fromkeys(
-        many_entries.ENDPOINTS, messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
+        many_entries.ENDPOINTS, messages.PeerLoad((2,) * 12, 0, 0.0, 0.0)
     )
     dispatcher.set_others(_PEER, full)
     assert _place(dispatcher, 1) == []
--- a/cardamombarrow/decisions/tests/test_rate_limits.py
+++ b/cardamombarrow/decisions/tests/test_rate_limits.py
@@ -16,8 +16,8 @@
 _ONE = "10.0.0.1:80"
 
 
-def _limit(per_s, heard_s):
-    return messages.RateLimit(per_s, heard_s)
+def _limit(per_s, received_s):
+    return messages.RateLimit(per_s, received_s)
 
 
 def test_a_limit_holds_until_an_answer_says_otherwise():
--- a/cardamombarrow/entry/broker.py
+++ b/cardamombarrow/entry/broker.py
@@ -228,7 +228,7 @@
         return dataclasses.replace(
             placement,
             limit_per_s=limit.per_s,
-            limit_age_s=self._clock.now_s() - limit.heard_s,
+            limit_age_s=self._clock.now_s() - limit.received_s,
         )
 
     def fall_back(self, request_id: ids.RequestId, reason: str) -> None:
@@ -256,7 +256,7 @@
                 if running.job.streams
             ]
 
-    def own_loads(self) -> dict[ids.EndpointId, messages.OthersLoad]:
+    def own_loads(self) -> dict[ids.EndpointId, messages.PeerLoad]:
         """Returns what runs on endpoints by decisions made here."""
         with self._lock:
             return self._dispatcher.own_loads(self._clock.now_s())
@@ -264,7 +264,7 @@
     def set_others(
         self,
         instance: ids.InstanceId,
-        loads: dict[ids.EndpointId, messages.OthersLoad],
+        loads: dict[ids.EndpointId, messages.PeerLoad],
     ) -> None:
         """Takes what another domain's placer has on endpoints."""
         with self._lock:
--- a/cardamombarrow/entry/knowing.py
+++ b/cardamombarrow/entry/knowing.py
@@ -270,7 +270,7 @@
             per_s=limit.per_s,
             before_per_s=before.per_s,
             source=source,
-            age_s=round(self._clock.now_s() - limit.heard_s, 3),
+            age_s=round(self._clock.now_s() - limit.received_s, 3),
             delegate=self._context.rate_limits.is_delegate,
         )
         return True
@@ -336,12 +336,12 @@
         with self._lock:
             self._dispatcher.forget_peer(instance)
 
-    def kept_news(self) -> list[messages.KeptNews]:
+    def kept_news(self) -> list[messages.CacheAnnouncement]:
         """Returns what is new about engines' caches, for the others."""
         with self._lock:
             return self._dispatcher.kept_news(self._clock.now_s())
 
-    def hear_kept(self, news: list[messages.KeptNews]) -> None:
+    def hear_kept(self, news: list[messages.CacheAnnouncement]) -> None:
         """Takes what other instances know of engines' caches."""
         with self._lock:
             self._dispatcher.hear_kept(news, self._clock.now_s())
--- a/cardamombarrow/entry/placer.py
+++ b/cardamombarrow/entry/placer.py
@@ -188,14 +188,14 @@
             return
         self._broker.withdraw(ticket)
 
-    def own_loads(self) -> dict[ids.EndpointId, messages.OthersLoad]:
+    def own_loads(self) -> dict[ids.EndpointId, messages.PeerLoad]:
         """Returns what runs by decisions made here; empty without owners."""
         return self._broker.own_loads() if self._owners else {}
 
     def set_others(
         self,
         instance: ids.InstanceId,
-        loads: dict[ids.EndpointId, messages.OthersLoad],
+        loads: dict[ids.EndpointId, messages.PeerLoad],
     ) -> None:
         """Takes what the placer of another domain has on endpoints."""
         if self._broker is not None:
--- a/cardamombarrow/peers/gossip_codec.py
+++ b/cardamombarrow/peers/gossip_codec.py
@@ -141,7 +141,7 @@
         return
     wire.limit_endpoints.append(name)
     wire.limit_per_s.append(_ENDED if value.per_s is None else value.per_s)
-    age_s = max(0.0, now_s - value.heard_s)
+    age_s = max(0.0, now_s - value.received_s)
     wire.limit_age_ms.append(int(age_s * _MS))
 
 
--- a/cardamombarrow/peers/kept_codec.py
+++ b/cardamombarrow/peers/kept_codec.py
@@ -11,7 +11,7 @@
 
 
 def kept_to_wire(
-    news: abc.Iterable[messages.KeptNews],
+    news: abc.Iterable[messages.CacheAnnouncement],
 ) -> list[control_pb2.KeptParts]:
     """Converts what is new about engines' caches."""
     return [
@@ -27,10 +27,10 @@
 def kept_from_wire(
     wire: abc.Iterable[control_pb2.KeptParts],
     known: abc.Mapping[int, ids.EndpointId],
-) -> list[messages.KeptNews]:
+) -> list[messages.CacheAnnouncement]:
     """Converts it back; leaves out endpoints that are not known here."""
     return [
-        messages.KeptNews(
+        messages.CacheAnnouncement(
             known[each.endpoint], tuple(each.parts), each.age_ms / 1_000
         )
         for each in wire
--- a/cardamombarrow/peers/placing_codec.py
+++ b/cardamombarrow/peers/placing_codec.py
@@ -122,7 +122,7 @@
 
 def loads_to_wire(
     instance: ids.InstanceId,
-    loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
+    loads: abc.Mapping[ids.EndpointId, messages.PeerLoad],
 ) -> placing_pb2.LoadNews:
     """Converts what a placer has on endpoints."""
     news = placing_pb2.LoadNews(instance=instance)
@@ -140,10 +140,10 @@
     news: placing_pb2.LoadNews,
     known: abc.Mapping[int, ids.EndpointId],
     now_s: float,
-) -> dict[ids.EndpointId, messages.OthersLoad]:
+) -> dict[ids.EndpointId, messages.PeerLoad]:
     """Converts it back; leaves out endpoints that are not known here."""
     return {
-        known[load.endpoint]: messages.OthersLoad(
+        known[load.endpoint]: messages.PeerLoad(
             tuple(load.ranks), load.unread, float(load.unread_tokens), now_s
         )
         for load in news.loads
--- a/cardamombarrow/peers/placing_teller.py
+++ b/cardamombarrow/peers/placing_teller.py
@@ -40,8 +40,8 @@
 IDLE_LOOK_S = 0.5
 """Time between two looks at whether this instance places."""
 
-_Loads = dict[ids.EndpointId, messages.OthersLoad]
-_NOTHING = messages.OthersLoad((), 0, 0.0, 0.0)
+_Loads = dict[ids.EndpointId, messages.PeerLoad]
+_NOTHING = messages.PeerLoad((), 0, 0.0, 0.0)
 
 
 def changed(before: _Loads, now: _Loads) -> _Loads:
@@ -59,7 +59,7 @@
 
 
 def _figures(
-    load: messages.OthersLoad,
+    load: messages.PeerLoad,
 ) -> tuple[tuple[int, ...], int, int]:
     return load.ranks, load.unread, round(load.unread_tokens)
 
--- a/cardamombarrow/peers/rate_limit_news.py
+++ b/cardamombarrow/peers/rate_limit_news.py
@@ -54,4 +54,4 @@
 
 def _is_due(told: messages.RateLimit, limit: messages.RateLimit) -> bool:
     changed = told.per_s != limit.per_s
-    return changed or limit.heard_s - told.heard_s >= RENEWAL_S
+    return changed or limit.received_s - told.received_s >= RENEWAL_S
--- a/cardamombarrow/peers/tests/test_placing_teller.py
+++ b/cardamombarrow/peers/tests/test_placing_teller.py
@@ -24,7 +24,7 @@
 
 
 def _load(running, unread=0, tokens=0.0, seen_at_s=0.0):
-    return messages.OthersLoad((5,) * running, unread, tokens, seen_at_s)
+    return messages.PeerLoad((5,) * running, unread, tokens, seen_at_s)
 
 
 def _wait_until(condition) -> None:
--- a/cardamombarrow/peers/tests/test_rate_limit_news.py
+++ b/cardamombarrow/peers/tests/test_rate_limit_news.py
@@ -14,8 +14,8 @@
 _KEY = (rows.ItemKind.RATE_LIMIT, rows.endpoint_hash(_ENDPOINT))
 
 
-def _limit(per_s, heard_s):
-    return messages.RateLimit(per_s, heard_s)
+def _limit(per_s, received_s):
+    return messages.RateLimit(per_s, received_s)
 
 
 class _Broker:
@@ -73,7 +73,7 @@
     for step in range(100):
         broker.now_s = step * 0.1
         broker.limits.hear(_ENDPOINT, _limit(1.0, broker.now_s))
-        told.add(news.collect()[_KEY].heard_s)
+        told.add(news.collect()[_KEY].received_s)
     assert len(told) <= 100 * 0.1 / rate_limit_news.RENEWAL_S + 1
 
 
