--- a/benchmarks/asked_driver.py
+++ b/benchmarks/asked_driver.py
@@ -54,14 +54,14 @@
 
     def _here(self, flight: driver.Flight) -> None:
         entry = self._entries[flight.entry]
-        if entry.decide_here(flight.job.request_id, self._now_s):
+        if entry.queue_locally(flight.job.request_id, self._now_s):
             self._pump(flight.entry)
 
     def _regain_placer(self) -> None:
         self._placer = self._new_placer()
         for entry in self._entries:
             for running in entry.runs():
-                self._placer.take_run(
+                self._placer.add_remote_run(
                     dataclasses.replace(running.job),
                     running.endpoint,
                     running.placed_s,
@@ -80,7 +80,7 @@
         entry = self._entries[flight.entry]
         if self._placer is None:
             return entry.offer(flight.job, self._now_s)
-        refusal = entry.announce(flight.job, self._now_s)
+        refusal = entry.await_remote_placement(flight.job, self._now_s)
         if refusal is None:
             self._ask(flight)
         return refusal
@@ -89,7 +89,7 @@
         entry = self._entries[flight.entry]
         asks = self._placer is not None
         again = entry.retry(flight.job, outcome, self._now_s, asks)
-        if again and entry.is_announced(flight.job.request_id):
+        if again and entry.awaits_remote_placement(flight.job.request_id):
             self._ask(flight)
         return again
 
@@ -131,7 +131,9 @@
         self, flight: driver.Flight, placement: messages.Placement
     ) -> None:
         entry = self._entries[flight.entry]
-        if entry.is_announced(flight.job.request_id) and entry.adopt(
+        if entry.awaits_remote_placement(
+            flight.job.request_id
+        ) and entry.apply_remote_placement(
             flight.job.request_id, placement, self._now_s
         ):
             self._placed(flight, placement)
@@ -142,7 +144,7 @@
         self, flight: driver.Flight, refusal: messages.Refusal
     ) -> None:
         entry = self._entries[flight.entry]
-        if entry.refused_elsewhere(flight.job.request_id):
+        if entry.drop_remote_placement(flight.job.request_id):
             self._refused(flight, refusal)
 
     def _yields_there(
--- a/benchmarks/scaling.py
+++ b/benchmarks/scaling.py
@@ -81,9 +81,9 @@
 }
 
 WAYS: dict[str, type[scaling.Scaler]] = {
-    "never orders": scaling.Unchanged,
+    "never orders": scaling.StaticScaler,
     "target utilisation": scaling.TargetUtilisation,
-    "trend ahead": scaling.TrendAhead,
+    "trend ahead": scaling.TrendExtrapolation,
 }
 
 
@@ -182,7 +182,7 @@
     known: tuple[float, dict[ids.DomainId, ordering.Fleet]],
 ) -> int:
     load, fleets = known
-    if way is scaling.Unchanged:
+    if way is scaling.StaticScaler:
         return 0
     share = scaling.DomainDemand(load / len(DOMAINS), 0.0)
     present = {d: max(f.spot, f.regular) for d, f in fleets.items()}
--- a/cardamombarrow/decisions/caches.py
+++ b/cardamombarrow/decisions/caches.py
@@ -61,7 +61,7 @@
         job: messages.Job,
         state: endpoint_module.EndpointState,
         home: ids.EndpointId | None,
-        is_sound: IsSound,
+        is_healthy: IsSound,
         now_s: float,
     ) -> messages.Fetch | None:
         """Returns where the engine that was chosen fetches from.
@@ -70,7 +70,7 @@
             job: The request.
             state: The engine.
             home: Home of the prompt's beginning.
-            is_sound: Tells whether an engine has not failed of late. One that
+            is_healthy: Tells whether an engine has not failed of late. One that
                 is silent would hold up whoever fetches from it.
             now_s: The time.
         """
@@ -86,7 +86,7 @@
                 tokens, self._domains.get(endpoint) == state.domain, endpoint
             )
             for endpoint, tokens in keepers.items()
-            if endpoint != state.endpoint and is_sound(endpoint)
+            if endpoint != state.endpoint and is_healthy(endpoint)
         ]
         target_s = job.target_first_token_s
         source = fetching.source_for(kept_tokens, sources, target_s)
--- a/cardamombarrow/decisions/context.py
+++ b/cardamombarrow/decisions/context.py
@@ -46,8 +46,8 @@
     domain: ids.DomainId
     rng: random.Random
     retries: RetryBounds = dataclasses.field(default_factory=RetryBounds)
-    fleet: fleet_module.FleetPart = dataclasses.field(
-        default_factory=fleet_module.FleetPart
+    fleet: fleet_module.FleetShare = dataclasses.field(
+        default_factory=fleet_module.FleetShare
     )
     rate_limits: rate_limits_module.RateLimits = dataclasses.field(
         default_factory=rate_limits_module.RateLimits
--- a/cardamombarrow/decisions/core.py
+++ b/cardamombarrow/decisions/core.py
@@ -142,22 +142,22 @@
         self, job: messages.Job, backlog: messages.Backlog, now_s: float
     ) -> None:
         self._policies.queue.push(job, now_s)
-        self._waiting.queued(job)
+        self._waiting.add_queued(job)
         self._roster.changed.add(job.service)
         next_check_s = self._policies.admission.next_check_s(
             job, backlog, now_s
         )
-        self._waiting.look_at(job, next_check_s)
+        self._waiting.schedule_check(job, next_check_s)
         preemption_check_s = self._policies.preemption.preemption_check_s(job)
         if preemption_check_s is not None:
-            self._waiting.alarm(job, preemption_check_s)
+            self._waiting.schedule_service_check(job, preemption_check_s)
         recheck_after_s = self._policies.choice.recheck_after_s(job)
         if recheck_after_s is not None:
-            self._waiting.alarm(job, now_s + recheck_after_s)
+            self._waiting.schedule_service_check(job, now_s + recheck_after_s)
 
     # -- placement by another instance ----------------------------------------
 
-    def may_ask(self, job: messages.Job, now_s: float) -> bool:
+    def may_place_remotely(self, job: messages.Job, now_s: float) -> bool:
         """Returns whether another instance may place a job.
 
         A call that does not stream is placed locally, unless an endpoint that
@@ -170,7 +170,7 @@
             job, now_s
         )
 
-    def announce(
+    def await_remote_placement(
         self, job: messages.Job, now_s: float
     ) -> messages.Refusal | None:
         """Records an arriving job that another instance will place."""
@@ -180,7 +180,7 @@
             self._awaiting_remote[job.request_id] = job
         return refusal
 
-    def adopt(
+    def apply_remote_placement(
         self,
         request_id: ids.RequestId,
         placed: messages.Placement,
@@ -200,7 +200,7 @@
         self._run(job, state, now_s)
         return True
 
-    def decide_here(self, request_id: ids.RequestId, now_s: float) -> bool:
+    def queue_locally(self, request_id: ids.RequestId, now_s: float) -> bool:
         """Queues or refuses a job locally that awaited a remote placement."""
         job = self._awaiting_remote.pop(request_id, None)
         if job is None:
@@ -217,7 +217,7 @@
         )
         return True
 
-    def refused_elsewhere(self, request_id: ids.RequestId) -> bool:
+    def drop_remote_placement(self, request_id: ids.RequestId) -> bool:
         """Removes a job that awaits a remote placement."""
         job = self._awaiting_remote.pop(request_id, None)
         if job is None:
@@ -229,11 +229,11 @@
 
     def withdraw(self, request_id: ids.RequestId) -> bool:
         """Removes a waiting job whose caller has disconnected."""
-        if self.refused_elsewhere(request_id):
+        if self.drop_remote_placement(request_id):
             return True
         job = self._policies.queue.remove(request_id)
         if job is None:
-            job = self._waiting.release(request_id)
+            job = self._waiting.remove_delayed(request_id)
         if job is None:
             return False
         self._waiting.leave(job)
@@ -252,10 +252,10 @@
 
     def place(self, now_s: float) -> typing.Iterator[messages.Decision]:
         """Yields every decision that is due now."""
-        for job in self._waiting.due_back(now_s):
+        for job in self._waiting.due_delayed(now_s):
             self._enqueue(job, self.backlog(job, now_s), now_s)
         yield from self._give_up(now_s)
-        for job in self._waiting.due_alarms(now_s):
+        for job in self._waiting.due_service_checks(now_s):
             self._roster.changed.add(job.service)
         self._roster.changed.update(self._roster.rate_budget.due(now_s))
         free_slots = roster.FreeSlots(self._roster, self.backlog, now_s)
@@ -272,14 +272,14 @@
 
     def _give_up(self, now_s: float) -> typing.Iterator[messages.Refusal]:
         admission = self._policies.admission
-        for job in self._waiting.due_looks(now_s):
+        for job in self._waiting.due_checks(now_s):
             backlog = self.backlog(job, now_s)
             reason = admission.give_up(job, backlog, now_s)
             if reason is None and math.isinf(backlog.limit_wait_s):
                 reason = _rate_limit_reason(job, backlog)
             if reason is None:
                 next_check_s = admission.next_check_s(job, backlog, now_s)
-                self._waiting.look_at(
+                self._waiting.schedule_check(
                     job, max(next_check_s, now_s + MIN_CHECK_INTERVAL_S)
                 )
                 continue
@@ -298,7 +298,7 @@
         now_s: float,
     ) -> messages.Refusal:
         retry_after_s = self._policies.retry.retry_after_s(backlog)
-        self._forecast.refused(job, now_s)
+        self._forecast.record_refusal(job, now_s)
         return messages.Refusal(job.request_id, kind, reason, retry_after_s)
 
     def _preempt(
@@ -336,7 +336,7 @@
         candidates: list[endpoint_module.EndpointState],
         now_s: float,
     ) -> messages.Placement:
-        self._waiting.placed(job)
+        self._waiting.remove_queued(job)
         choice = self._policies.choice
         state, reason = choice.choose(job, candidates, now_s)
         fetch = choice.fetch(job, state, now_s)
@@ -362,7 +362,7 @@
         job: messages.Job,
         outcome: messages.Outcome,
         now_s: float,
-        ask: bool = False,
+        remote: bool = False,
     ) -> bool:
         """Queues a failed job again, if a retry is allowed and useful.
 
@@ -370,13 +370,13 @@
             job: The job.
             outcome: How its last run ended.
             now_s: The time.
-            ask: If the retry needs no delay, have another instance place the
-                job instead of queueing it; see `is_announced`.
+            remote: If the retry needs no delay, have another instance place the
+                job instead of queueing it; see `awaits_remote_placement`.
         """
         if self._policies.quarantine.refuse(job, now_s) is not None:
             return False
         if (
-            not ask
+            not remote
             and _rate_limit_reason(job, self.backlog(job, now_s)) is not None
         ):
             return False
@@ -385,14 +385,14 @@
         self._waiting.enter(job)
         delay_s = self._policies.retry.delay_s(job, outcome)
         if delay_s > 0.0:
-            self._waiting.hold_back(job, now_s + delay_s)
-        elif ask:
+            self._waiting.delay(job, now_s + delay_s)
+        elif remote:
             self._awaiting_remote[job.request_id] = job
         else:
             self._enqueue(job, self.backlog(job, now_s), now_s)
         return True
 
-    def is_announced(self, request_id: ids.RequestId) -> bool:
+    def awaits_remote_placement(self, request_id: ids.RequestId) -> bool:
         """Returns whether a job awaits a remote placement."""
         return request_id in self._awaiting_remote
 
--- a/cardamombarrow/decisions/failures.py
+++ b/cardamombarrow/decisions/failures.py
@@ -4,10 +4,10 @@
 always has free slots, so under load it is often the only candidate, and would
 get and fail each waiting job in turn.
 
-After `TO_PROBATION` consecutive failures an endpoint gets one request per probe
-interval (similar to a half-open circuit breaker). A failure that the endpoint
-itself has answered may be caused by the request: it counts against the
-endpoint, but not towards probation.
+After `FAILURES_TO_PROBATION` consecutive failures an endpoint gets one request
+per probe interval (similar to a half-open circuit breaker). A failure that the
+endpoint itself has answered may be caused by the request: it counts against
+the endpoint, but not towards probation.
 
 The last five requests make up two thirds of the failure share, which decays
 with the half-life of all observations. Probes begin as soon as a restart may
@@ -21,9 +21,9 @@
 
 __all__ = [
     "FAILURES",
+    "FAILURES_TO_PROBATION",
+    "NOT_RECEIVED",
     "PENALTY",
-    "TO_PROBATION",
-    "UNSEEN",
     "Failures",
 ]
 
@@ -33,7 +33,7 @@
 HALF_LIFE_S = 10.0
 """Half-life of the failure share."""
 
-TO_PROBATION = 2
+FAILURES_TO_PROBATION = 2
 """Consecutive failures after which an endpoint gets probes only."""
 
 FIRST_PROBE_S = 0.5
@@ -57,7 +57,7 @@
 )
 """Outcomes that count as failures of the endpoint."""
 
-UNSEEN = frozenset(
+NOT_RECEIVED = frozenset(
     (messages.Outcome.NOT_STARTED, messages.Outcome.REFUSED_BY_ENDPOINT)
 )
 """Outcomes after which the endpoint has not received the request."""
@@ -80,7 +80,7 @@
 
     @property
     def on_probation(self) -> bool:
-        return self.consecutive >= TO_PROBATION
+        return self.consecutive >= FAILURES_TO_PROBATION
 
     def decayed_share(self, now_s: float) -> float:
         elapsed_s = now_s - self.seen_at_s
@@ -102,7 +102,7 @@
         """Returns the factor by which an endpoint is assumed to be slower."""
         return 1.0 + PENALTY * self.share(endpoint, now_s)
 
-    def is_sound(self, endpoint: ids.EndpointId) -> bool:
+    def is_healthy(self, endpoint: ids.EndpointId) -> bool:
         """Returns whether an endpoint has had no failure since a success."""
         record = self._records.get(endpoint)
         return record is None or not record.consecutive
@@ -116,33 +116,37 @@
         """Returns whether an endpoint on probation may get a request."""
         return now_s >= self._records[endpoint].probe_at_s
 
-    def probed(self, endpoint: ids.EndpointId, now_s: float) -> None:
+    def record_probe(self, endpoint: ids.EndpointId, now_s: float) -> None:
         """Records a probe and sets the time of the next one."""
         record = self._records[endpoint]
-        doublings = min(record.consecutive - TO_PROBATION, 10)
+        doublings = min(record.consecutive - FAILURES_TO_PROBATION, 10)
         wait_s = min(FIRST_PROBE_S * 2**doublings, MAX_PROBE_S)
         record.probe_at_s = now_s + wait_s
 
-    def succeeded(self, endpoint: ids.EndpointId, now_s: float) -> None:
+    def record_success(self, endpoint: ids.EndpointId, now_s: float) -> None:
         """Records a successful request."""
         record = self._record(endpoint, now_s)
         record.consecutive = 0
         record.share *= 1.0 - WEIGHT
 
-    def failed(
-        self, endpoint: ids.EndpointId, now_s: float, *, breaks: bool = True
+    def record_failure(
+        self,
+        endpoint: ids.EndpointId,
+        now_s: float,
+        *,
+        counts_for_probation: bool = True,
     ) -> None:
         """Records a failed request.
 
         Args:
             endpoint: The endpoint.
             now_s: The time.
-            breaks: Whether it counts towards probation.
+            counts_for_probation: Whether it counts towards probation.
         """
         record = self._record(endpoint, now_s)
-        record.consecutive += breaks
+        record.consecutive += counts_for_probation
         record.share += WEIGHT * (1.0 - record.share)
-        if breaks and record.consecutive == TO_PROBATION:
+        if counts_for_probation and record.consecutive == FAILURES_TO_PROBATION:
             record.probe_at_s = now_s + FIRST_PROBE_S
 
     def _record(self, endpoint: ids.EndpointId, now_s: float) -> _FailureRecord:
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -293,8 +293,8 @@
         if fetch_s is None or fetch_s >= self._pace.token_s(job.service):
             return None
         _, home = self._considered
-        is_sound = self._failures.is_sound
-        return self._caches.fetch(job, state, home, is_sound, now_s)
+        is_healthy = self._failures.is_healthy
+        return self._caches.fetch(job, state, home, is_healthy, now_s)
 
     def fetch(
         self,
@@ -452,5 +452,5 @@
         self._expected_s.pop(running.job.request_id, None)
         if outcome is messages.Outcome.CRASHED:
             self._caches.parts.drop(state.endpoint)
-        elif running.first_token_s is None and outcome in failures.UNSEEN:
+        elif running.first_token_s is None and outcome in failures.NOT_RECEIVED:
             self._caches.not_read(running.job, state.endpoint)
--- a/cardamombarrow/decisions/fleet.py
+++ b/cardamombarrow/decisions/fleet.py
@@ -17,7 +17,7 @@
 
 import math
 
-__all__ = ["FleetPart"]
+__all__ = ["FleetShare"]
 
 MARGIN = 0.8
 """Share of a bound over all instances that is used."""
@@ -29,7 +29,7 @@
 """Factor on the number at each lower count; ten counts lower it by a tenth."""
 
 
-class FleetPart:
+class FleetShare:
     """Computes this instance's part of bounds over all instances.
 
     Each instance has one object, shared by all users of such bounds.
@@ -38,19 +38,19 @@
     def __init__(self):
         self._instances = GUESSED_INSTANCES
 
-    def heard(self, count: int) -> None:
+    def update_instances(self, count: int) -> None:
         """Updates the number of instances, this one included."""
         lowest = max(self._instances * INSTANCES_DECAY, 1.0)
         self._instances = max(float(count), lowest)
 
-    def of(self, bound: float) -> float:
+    def part_of(self, bound: float) -> float:
         """Returns this instance's part of a bound, within the margin."""
         return MARGIN * bound / self._instances
 
-    def whole(self, bound: int) -> int:
+    def integer_part_of(self, bound: int) -> int:
         """Returns the part as an integer, at least 1.
 
         With more instances than units the sum exceeds the bound, so that each
         instance has at least one unit.
         """
-        return max(math.floor(self.of(bound)), 1)
+        return max(math.floor(self.part_of(bound)), 1)
--- a/cardamombarrow/decisions/forecast.py
+++ b/cardamombarrow/decisions/forecast.py
@@ -96,7 +96,7 @@
             lower_over_reserve=self._lower_over_reserve(job, capacity),
         )
 
-    def refused(self, job: messages.Job, now_s: float) -> None:
+    def record_refusal(self, job: messages.Job, now_s: float) -> None:
         """Records a refused job, which is expected to return."""
         returning = self._returning.setdefault(
             (job.service, job.rank), _ReturningJobs()
--- a/cardamombarrow/decisions/kept.py
+++ b/cardamombarrow/decisions/kept.py
@@ -9,10 +9,10 @@
 
 What is known: every instance notes what it sends and tells the others what is
 new in it; see `CacheAnnouncement`. An engine can drop a part without anybody
-hearing of it, and may not have read it yet, so this is a hint. What an engine does not
-keep it reads; a wrong hint costs the saving and nothing else. Asking the
-engines themselves would be exact, but costs calls for each engine, domain and
-second, while this grows with the new places of parts only.
+hearing of it, and may not have read it yet, so this is a hint. What an engine
+does not keep it reads; a wrong hint costs the saving and nothing else. Asking
+the engines themselves would be exact, but costs calls for each engine, domain
+and second, while this grows with the new places of parts only.
 
 `LIFE_S` is about the time in which an engine's memory is filled anew. `HOLDERS`
 are enough to leave a choice of sources where one is lost. `NEWS` bounds what
--- a/cardamombarrow/decisions/knowledge.py
+++ b/cardamombarrow/decisions/knowledge.py
@@ -22,7 +22,7 @@
         self._context = context
         self._policies = policies.Policies(context)
         self._roster = roster.Roster(context, self._policies)
-        self._waiting = waiting.Waiting()
+        self._waiting = waiting.WaitingJobs()
         self.configure(context.document, now_s)
 
     def configure(self, document: schema.Document, now_s: float) -> None:
@@ -45,7 +45,7 @@
 
     def set_instances(self, count: int) -> None:
         """Learns how many instances share what is bounded over all."""
-        self._context.fleet.heard(count)
+        self._context.fleet.update_instances(count)
 
     def refresh_shares(self, now_s: float) -> None:
         """Works out this instance's slots on every endpoint."""
--- a/cardamombarrow/decisions/quarantine.py
+++ b/cardamombarrow/decisions/quarantine.py
@@ -27,7 +27,7 @@
 CRASHES_TO_QUARANTINE = 2
 QUARANTINE_S = 600.0
 SUSPICION_S = 600.0
-TABLE = 4_096
+MAX_FINGERPRINTS = 4_096
 
 
 @dataclasses.dataclass(slots=True)
@@ -120,5 +120,5 @@
 
 
 def _drop_oldest(table: dict) -> None:
-    if len(table) > TABLE:
+    if len(table) > MAX_FINGERPRINTS:
         del table[next(iter(table))]
--- a/cardamombarrow/decisions/retry.py
+++ b/cardamombarrow/decisions/retry.py
@@ -155,7 +155,7 @@
         bounds = self.context.retries
         return (
             fleet.MARGIN * bounds.share,
-            self.context.fleet.of(bounds.slack),
+            self.context.fleet.part_of(bounds.slack),
         )
 
     def delay_s(self, job: messages.Job, outcome: messages.Outcome) -> float:
--- a/cardamombarrow/decisions/roster.py
+++ b/cardamombarrow/decisions/roster.py
@@ -194,7 +194,7 @@
         if self._context.whole_domain:
             domains = {state.domain for state in self.endpoints.values()}
             return max(known.max_connections // max(len(domains), 1), 1)
-        return self._context.fleet.whole(known.max_connections)
+        return self._context.fleet.integer_part_of(known.max_connections)
 
     def reachable(
         self, service: ids.ServiceId
--- a/cardamombarrow/decisions/runs.py
+++ b/cardamombarrow/decisions/runs.py
@@ -44,12 +44,12 @@
             self._policies.spill.on_place(job, state, placed_s)
         return running
 
-    def take_run(
+    def add_remote_run(
         self,
         job: messages.Job,
         endpoint: ids.EndpointId,
         placed_s: float,
-        begun: bool,
+        has_first_token: bool,
         now_s: float,
     ) -> bool:
         """Records a request that another instance has placed.
@@ -65,7 +65,7 @@
         self._roster.rate_budget.spend(state, now_s)
         self._policies.choice.on_remote_placement(job, state, now_s)
         running = self._run(job, state, placed_s)
-        if begun:
+        if has_first_token:
             running.first_token_s = now_s
         return True
 
--- a/cardamombarrow/decisions/scaling.py
+++ b/cardamombarrow/decisions/scaling.py
@@ -24,10 +24,10 @@
 __all__ = [
     "DomainDemand",
     "Scaler",
+    "StaticScaler",
     "TargetUtilisation",
-    "TrendAhead",
-    "Unchanged",
-    "spread",
+    "TrendExtrapolation",
+    "spread_over_domains",
 ]
 
 READING_UTILISATION = 0.4
@@ -86,7 +86,7 @@
         """
 
 
-class Unchanged(Scaler):
+class StaticScaler(Scaler):
     """Keeps the current number of endpoints."""
 
     def wanted(
@@ -140,7 +140,7 @@
             self._demand_since_s = now_s
         # The first requests do not show the coming demand yet.
         may_lower = now_s - self._demand_since_s >= PEAK_HOLD_S
-        for domain, count in spread(needs, scaling).items():
+        for domain, count in spread_over_domains(needs, scaling).items():
             before = self._wanted.get(domain, 0)
             is_lower = may_lower and count <= before - LOWER_STEP
             if count > before or is_lower:
@@ -162,7 +162,7 @@
         return self._peaks[domain][0][1]
 
 
-class TrendAhead(Scaler):
+class TrendExtrapolation(Scaler):
     """Follows the demand predicted for when an ordered endpoint is ready.
 
     The trend of the last `TREND_S` is extrapolated by the start time.
@@ -197,7 +197,7 @@
             )
             for domain, need in needs.items()
         }
-        return spread(ahead, scaling)
+        return spread_over_domains(ahead, scaling)
 
 
 def _need(service: schema.Service, demand: DomainDemand | None) -> float:
@@ -207,7 +207,7 @@
     return max(demand.reading / READING_UTILISATION, demand.running / places)
 
 
-def spread(
+def spread_over_domains(
     needs: collections_abc.Mapping[ids.DomainId, float],
     scaling: schema.Scaling,
 ) -> dict[ids.DomainId, int]:
--- a/cardamombarrow/decisions/tests/test_choice.py
+++ b/cardamombarrow/decisions/tests/test_choice.py
@@ -124,7 +124,7 @@
     policy = choice.TwoCandidatesChoice(context)
     state = _states(1)[0]
     running = messages.Running(new_job(), state.endpoint, 0.0)
-    for _ in range(failures.TO_PROBATION):
+    for _ in range(failures.FAILURES_TO_PROBATION):
         policy.on_finish(state, running, messages.Outcome.CRASHED, 0.0)
     assert policy.available(new_job(), state, 5.0)
     assert not policy.available(new_job(repeatable=False), state, 5.0)
--- a/cardamombarrow/decisions/tests/test_fleet.py
+++ b/cardamombarrow/decisions/tests/test_fleet.py
@@ -16,16 +16,16 @@
 
 
 def _part(*counts):
-    part = fleet.FleetPart()
+    part = fleet.FleetShare()
     for count in counts:
-        part.heard(count)
+        part.update_instances(count)
     return part
 
 
 @pytest.mark.parametrize("count", [1, 2, 7, 80])
 @pytest.mark.parametrize("bound", [100, 360, 520])
 def test_parts_of_all_instances_stay_within_the_bound(count, bound):
-    parts = [_part(*[count] * 300).whole(bound) for _ in range(count)]
+    parts = [_part(*[count] * 300).integer_part_of(bound) for _ in range(count)]
     assert 0 < sum(parts) <= max(bound, count)
 
 
@@ -33,9 +33,9 @@
     # A partition separates the halves of eighty instances for some seconds,
     # and both go on. Parts that grew at once would double the connections to
     # an endpoint, which resets those above its bound.
-    before = _part(80).of(520)
-    assert _part(80, *[40] * 5).of(520) < 1.06 * before
-    assert 2 * 40 * _part(80, *[40] * 20).whole(520) <= 520
+    before = _part(80).part_of(520)
+    assert _part(80, *[40] * 5).part_of(520) < 1.06 * before
+    assert 2 * 40 * _part(80, *[40] * 20).integer_part_of(520) <= 520
 
 
 def _dispatcher(domain, max_connections):
--- a/cardamombarrow/decisions/tests/test_quarantine.py
+++ b/cardamombarrow/decisions/tests/test_quarantine.py
@@ -81,8 +81,8 @@
 
 def test_tables_are_bounded(policy, new_job):
     """Frequent crashes must not exhaust the entry's memory."""
-    for number in range(3 * quarantine.TABLE):
+    for number in range(3 * quarantine.MAX_FINGERPRINTS):
         job = _job(new_job, f"job-{number}")
         policy.on_crash(ENDPOINT, [job], 1.0)
         policy.on_crash(ENDPOINT, [job], 1.0)
-    assert len(policy.marks(1.0)) <= quarantine.TABLE
+    assert len(policy.marks(1.0)) <= quarantine.MAX_FINGERPRINTS
--- a/cardamombarrow/decisions/tests/test_rate_limits.py
+++ b/cardamombarrow/decisions/tests/test_rate_limits.py
@@ -195,8 +195,8 @@
     dispatcher, new_job
 ):
     job = new_job(streams=False)
-    assert not dispatcher.may_ask(job, 0.0)
+    assert not dispatcher.may_place_remotely(job, 0.0)
     _stated(dispatcher, _NEAR[:1], 5.0)
-    assert dispatcher.may_ask(job, 0.0)
+    assert dispatcher.may_place_remotely(job, 0.0)
     _stated(dispatcher, _NEAR[:1], None, 1.0)
-    assert not dispatcher.may_ask(job, 1.0)
+    assert not dispatcher.may_place_remotely(job, 1.0)
--- a/cardamombarrow/decisions/tests/test_retry_window.py
+++ b/cardamombarrow/decisions/tests/test_retry_window.py
@@ -17,13 +17,13 @@
     policies = [
         retry.WindowRetry(
             dataclasses.replace(
-                context, retries=_BOUNDS, fleet=fleet.FleetPart()
+                context, retries=_BOUNDS, fleet=fleet.FleetShare()
             )
         )
         for _ in range(count)
     ]
     for policy in policies:
-        policy.context.fleet.heard(count)
+        policy.context.fleet.update_instances(count)
     return policies
 
 
@@ -64,8 +64,8 @@
     # If each used the whole slack, the bound would be exceeded by as many times
     # as there are instances.
     (policy,) = _instances(context, 1)
-    policy.context.fleet.heard(80)
-    policy.context.fleet.heard(1)
+    policy.context.fleet.update_instances(80)
+    policy.context.fleet.update_instances(1)
     allowed = 0
     for _ in range(50):
         job = new_job(deadline_s=60.0, attempts=1)
--- a/cardamombarrow/decisions/tests/test_scaling.py
+++ b/cardamombarrow/decisions/tests/test_scaling.py
@@ -121,4 +121,4 @@
 
 
 def test_static_scaler_never_orders():
-    assert _play(scaling.Unchanged(), [_even(50.0)] * 5) == _PRESENT
+    assert _play(scaling.StaticScaler(), [_even(50.0)] * 5) == _PRESENT
--- a/cardamombarrow/decisions/waiting.py
+++ b/cardamombarrow/decisions/waiting.py
@@ -12,12 +12,12 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
-__all__ = ["Waiting"]
+__all__ = ["WaitingJobs"]
 
 _Timed = tuple[float, int, messages.Job]
 
 
-class Waiting:
+class WaitingJobs:
     """The waiting jobs of one instance, and the jobs of each workspace.
 
     Attributes:
@@ -54,46 +54,46 @@
         if not self.in_flight[job.workspace]:
             del self.in_flight[job.workspace]
 
-    def queued(self, job: messages.Job) -> None:
+    def add_queued(self, job: messages.Job) -> None:
         """Records that a job is queued."""
         self._jobs[job.request_id] = job
 
-    def placed(self, job: messages.Job) -> None:
+    def remove_queued(self, job: messages.Job) -> None:
         """Records that a job has left the queue for an endpoint."""
         del self._jobs[job.request_id]
 
-    def look_at(self, job: messages.Job, next_check_s: float) -> None:
+    def schedule_check(self, job: messages.Job, next_check_s: float) -> None:
         """Schedules the next check of a waiting job."""
         heapq.heappush(self._checks, (next_check_s, next(self._numbers), job))
 
-    def due_looks(self, now_s: float) -> abc.Iterator[messages.Job]:
+    def due_checks(self, now_s: float) -> abc.Iterator[messages.Job]:
         """Yields the jobs that still wait and whose check is due."""
         while self._checks and self._checks[0][0] <= now_s:
             job = heapq.heappop(self._checks)[2]
             if self._is_queued(job):
                 yield job
 
-    def hold_back(self, job: messages.Job, ready_s: float) -> None:
+    def delay(self, job: messages.Job, ready_s: float) -> None:
         """Delays a job before it is queued."""
         self._delayed[job.request_id] = job
         heapq.heappush(self._delay_ends, (ready_s, next(self._numbers), job))
 
-    def release(self, request_id: ids.RequestId) -> messages.Job | None:
+    def remove_delayed(self, request_id: ids.RequestId) -> messages.Job | None:
         """Removes and returns a delayed job, or None."""
         return self._delayed.pop(request_id, None)
 
-    def due_back(self, now_s: float) -> abc.Iterator[messages.Job]:
+    def due_delayed(self, now_s: float) -> abc.Iterator[messages.Job]:
         """Yields the jobs whose delay has passed."""
         while self._delay_ends and self._delay_ends[0][0] <= now_s:
             job = heapq.heappop(self._delay_ends)[2]
             if self._delayed.pop(job.request_id, None) is not None:
                 yield job
 
-    def alarm(self, job: messages.Job, when_s: float) -> None:
+    def schedule_service_check(self, job: messages.Job, when_s: float) -> None:
         """Schedules a check of a job's service, in case it still waits."""
         heapq.heappush(self._service_checks, (when_s, next(self._numbers), job))
 
-    def due_alarms(self, now_s: float) -> abc.Iterator[messages.Job]:
+    def due_service_checks(self, now_s: float) -> abc.Iterator[messages.Job]:
         """Yields the jobs that still wait and whose service check is due."""
         while self._service_checks and self._service_checks[0][0] <= now_s:
             job = heapq.heappop(self._service_checks)[2]
--- a/cardamombarrow/decisions/weighed.py
+++ b/cardamombarrow/decisions/weighed.py
@@ -109,7 +109,7 @@
     ) -> endpoint_module.EndpointState | None:
         for state in candidates:
             if self._failures.is_on_probation(state.endpoint):
-                self._failures.probed(state.endpoint, now_s)
+                self._failures.record_probe(state.endpoint, now_s)
                 return state
         return None
 
@@ -122,7 +122,7 @@
         now_s: float,
     ) -> None:
         """Learns that the endpoint works."""
-        self._failures.succeeded(state.endpoint, now_s)
+        self._failures.record_success(state.endpoint, now_s)
 
     def on_finish(
         self,
@@ -133,11 +133,13 @@
     ) -> None:
         """Learns that the endpoint works, or that it failed."""
         if outcome in failures.FAILURES:
-            self._failures.failed(state.endpoint, now_s)
+            self._failures.record_failure(state.endpoint, now_s)
         elif outcome is messages.Outcome.FAILURE_ANSWERED:
-            self._failures.failed(state.endpoint, now_s, breaks=False)
+            self._failures.record_failure(
+                state.endpoint, now_s, counts_for_probation=False
+            )
         elif running.first_token_s is not None and running.tokens > 1:
-            self._failures.succeeded(state.endpoint, now_s)
+            self._failures.record_success(state.endpoint, now_s)
 
 
 def home_among(
--- a/cardamombarrow/entry/broker.py
+++ b/cardamombarrow/entry/broker.py
@@ -49,7 +49,9 @@
             now_s = self._clock.now_s()
             asks = self._asks(job, now_s)
             offer = (
-                self._dispatcher.announce if asks else self._dispatcher.offer
+                self._dispatcher.await_remote_placement
+                if asks
+                else self._dispatcher.offer
             )
             refusal = offer(job, now_s)
             if refusal is None:
@@ -66,7 +68,9 @@
         return ticket
 
     def _asks(self, job: messages.Job, now_s: float) -> bool:
-        return self._asking.takes() and self._dispatcher.may_ask(job, now_s)
+        return self._asking.takes() and self._dispatcher.may_place_remotely(
+            job, now_s
+        )
 
     def resubmit(
         self, ticket: ticket_module.Ticket, outcome: messages.Outcome
@@ -81,7 +85,7 @@
                 return None
             self._tickets[job.request_id] = again
             attempts = job.attempts
-            if self._dispatcher.is_announced(job.request_id):
+            if self._dispatcher.awaits_remote_placement(job.request_id):
                 self._asking.ask(job)
             lines = self._run_due()
             self._wake_if_earlier()
@@ -111,7 +115,7 @@
         lines: list[decision_lines.Line] = []
         with self._lock:
             request_id = ticket.job.request_id
-            if self._dispatcher.is_announced(request_id):
+            if self._dispatcher.awaits_remote_placement(request_id):
                 self._asking.withdraw(request_id)
             if self._dispatcher.withdraw(request_id):
                 del self._tickets[request_id]
@@ -172,7 +176,7 @@
                 if ticket is not None:
                     ticket.preempt(decision)
                 return True
-            if ticket is None or not self._dispatcher.is_announced(
+            if ticket is None or not self._dispatcher.awaits_remote_placement(
                 answer.request_id
             ):
                 return True
@@ -182,7 +186,7 @@
             else:
                 taken = decision.kind in _HONOURED
                 if taken:
-                    self._dispatcher.refused_elsewhere(answer.request_id)
+                    self._dispatcher.drop_remote_placement(answer.request_id)
                     del self._tickets[answer.request_id]
                     ticket.placed.set_exception(_refused(ticket.job, decision))
             if taken:
@@ -211,7 +215,7 @@
         job = ticket.job
         job.unread_tokens = answer.unread_tokens
         job.expected_tokens = answer.expected_tokens
-        adopted = self._dispatcher.adopt(
+        adopted = self._dispatcher.apply_remote_placement(
             job.request_id, placement, self._clock.now_s()
         )
         if adopted:
@@ -235,7 +239,7 @@
         """Decides here on a request on which the placer has not decided."""
         with self._lock:
             now_s = self._clock.now_s()
-            if not self._dispatcher.decide_here(request_id, now_s):
+            if not self._dispatcher.queue_locally(request_id, now_s):
                 return
             lines = self._run_due()
             self._wake_if_earlier()
@@ -279,10 +283,10 @@
             lines = self._run_due()
         decision_lines.write(lines)
 
-    def take_run(self, run: placing_messages.Run) -> bool:
+    def add_remote_run(self, run: placing_messages.Run) -> bool:
         """Learns of a request that an entry of the domain has sent itself."""
         with self._lock:
-            return self._dispatcher.take_run(
+            return self._dispatcher.add_remote_run(
                 run.job,
                 run.endpoint,
                 run.placed_s,
--- a/cardamombarrow/entry/placer.py
+++ b/cardamombarrow/entry/placer.py
@@ -149,7 +149,7 @@
         """Learns of a request that its entry has sent by its own decision."""
         if owner.is_full or run.job.request_id in owner.tickets:
             return
-        if self._broker.take_run(run):
+        if self._broker.add_remote_run(run):
             owner.runs.add(run.job.request_id)
 
     def begun(self, owner: Owner, request_id: ids.RequestId) -> None:
