--- a/cardamombarrow/decisions/base.py
+++ b/cardamombarrow/decisions/base.py
@@ -1,7 +1,7 @@
-"""Abstract base classes of the policies, one for each kind of decision.
+"""Abstract base classes of the policies, one for each plug-in slot.
 
 A policy is built from a `context.PolicyContext`, registers itself with
-``registry.plugin(<kind>, <name>)`` and is chosen by name in ``[policies]`` of
+``registry.plugin(<slot>, <name>)`` and is chosen by name in ``[policies]`` of
 the document. All methods are called under the dispatcher's lock.
 """
 
--- a/cardamombarrow/decisions/policies.py
+++ b/cardamombarrow/decisions/policies.py
@@ -1,4 +1,4 @@
-"""The policy objects that the document selects, one for each kind."""
+"""The policy objects that the document selects, one for each slot."""
 
 import dataclasses
 
@@ -46,9 +46,9 @@
         for field in dataclasses.fields(schema.Policies):
             self._build(field.name, context)
 
-    def _build(self, kind: str, context: context_module.PolicyContext) -> None:
-        cls = registry.lookup(kind, getattr(context.document.policies, kind))
-        setattr(self, kind, cls(context))
+    def _build(self, slot: str, context: context_module.PolicyContext) -> None:
+        cls = registry.lookup(slot, getattr(context.document.policies, slot))
+        setattr(self, slot, cls(context))
 
     def configure(
         self, context: context_module.PolicyContext, now_s: float
@@ -56,12 +56,12 @@
         """Applies a newer document; a policy with a new name is rebuilt."""
         new = context.document.policies
         for field in dataclasses.fields(schema.Policies):
-            kind = field.name
-            if getattr(new, kind) == getattr(self._names, kind):
-                getattr(self, kind).configure(context.document)
+            slot = field.name
+            if getattr(new, slot) == getattr(self._names, slot):
+                getattr(self, slot).configure(context.document)
                 continue
-            waiting = list(self.queue.jobs()) if kind == "queue" else []
-            self._build(kind, context)
+            waiting = list(self.queue.jobs()) if slot == "queue" else []
+            self._build(slot, context)
             for job in waiting:
                 self.queue.push(job, now_s)
         self._names = new
--- a/cardamombarrow/decisions/roster.py
+++ b/cardamombarrow/decisions/roster.py
@@ -17,7 +17,7 @@
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
-__all__ = ["Backlog", "FreeSlots", "Roster"]
+__all__ = ["BacklogFunction", "FreeSlots", "Roster"]
 
 PEER_VIEW_MAX_AGE_S = 600.0
 """A peer without news for this long no longer counts.
@@ -27,7 +27,7 @@
 use the whole limit.
 """
 
-Backlog = abc.Callable[[messages.Job, float], messages.Backlog]
+BacklogFunction = abc.Callable[[messages.Job, float], messages.Backlog]
 
 
 class Roster:
@@ -282,7 +282,7 @@
         )
 
     def candidates(
-        self, job: messages.Job, backlog: Backlog, now_s: float
+        self, job: messages.Job, backlog: BacklogFunction, now_s: float
     ) -> list[endpoint_module.EndpointState]:
         """Returns the endpoints with a slot that a job may take now.
 
@@ -355,7 +355,7 @@
     def __init__(
         self,
         endpoints: Roster,
-        backlog: Backlog,
+        backlog: BacklogFunction,
         now_s: float,
     ):
         self._roster = endpoints
--- a/cardamombarrow/decisions/scaling.py
+++ b/cardamombarrow/decisions/scaling.py
@@ -33,7 +33,7 @@
 READING_UTILISATION = 0.4
 """Share of an endpoint's time that reading prompts may take."""
 
-PLACES_UTILISATION = 0.5
+SLOT_UTILISATION = 0.5
 """Share of an endpoint's slots that may be used."""
 
 PEAK_HOLD_S = 60.0
@@ -203,8 +203,8 @@
 def _need(service: schema.Service, demand: DomainDemand | None) -> float:
     if demand is None:
         return 0.0
-    places = service.slots_per_endpoint * PLACES_UTILISATION
-    return max(demand.reading / READING_UTILISATION, demand.running / places)
+    slots = service.slots_per_endpoint * SLOT_UTILISATION
+    return max(demand.reading / READING_UTILISATION, demand.running / slots)
 
 
 def spread_over_domains(
