--- a/cardamombarrow/decisions/core.py
+++ b/cardamombarrow/decisions/core.py
@@ -161,8 +161,9 @@
         """Returns whether another instance may place a job.
 
         A call that does not stream is placed locally, unless an endpoint that
-        could take it states a rate limit. So is a job that may have crashed an
-        endpoint: it has to run alone, and only this instance records that.
+        could take it states a rate limit. A job that may have crashed an
+        endpoint is also placed locally: it has to run alone, and only this
+        instance records that.
         """
         reachable = self._roster.reachable(job.service)
         is_remote = job.streams or self._roster.rate_budget.has_limit(reachable)
