--- a/cardamombarrow/decisions/cache_directory.py
+++ b/cardamombarrow/decisions/cache_directory.py
@@ -8,11 +8,11 @@
 Without this module each engine prefills the prefixes again.
 
 Every instance records what it sends and announces new entries to the others;
-see `KeptNews`. An engine may have evicted a part without notice or not have
-prefilled it yet, so the entries are hints: an engine prefills what it lacks,
-and a wrong hint costs only the saving. Querying the engines would be exact,
-but costs calls per engine, domain and second; announcements grow only with the
-number of new locations.
+see `CacheAnnouncement`. An engine may have evicted a part without notice or
+not have prefilled it yet, so the entries are hints: an engine prefills what it
+lacks, and a wrong hint costs only the saving. Querying the engines would be
+exact, but costs calls per engine, domain and second; announcements grow only
+with the number of new locations.
 
 `ENTRY_LIFETIME_S` is about the time in which an engine's cache is replaced
 once. `MAX_HOLDERS` leaves a choice of sources when one is lost.
@@ -136,7 +136,9 @@
                 )
         return cached_tokens
 
-    def take_announcements(self, now_s: float) -> list[messages.KeptNews]:
+    def take_announcements(
+        self, now_s: float
+    ) -> list[messages.CacheAnnouncement]:
         """Returns and clears the pending announcements, by engine."""
         announcements, self._pending = self._pending, {}
         by_endpoint: dict[ids.EndpointId, list[int]] = {}
@@ -152,12 +154,14 @@
             if now_s - announced_s < REANNOUNCE_S
         }
         return [
-            messages.KeptNews(endpoint, tuple(keys), now_s - oldest_s)
+            messages.CacheAnnouncement(endpoint, tuple(keys), now_s - oldest_s)
             for endpoint, keys in by_endpoint.items()
         ]
 
     def merge_announcements(
-        self, announcements: abc.Iterable[messages.KeptNews], now_s: float
+        self,
+        announcements: abc.Iterable[messages.CacheAnnouncement],
+        now_s: float,
     ) -> None:
         """Merges announcements from other instances."""
         for each in announcements:
--- a/cardamombarrow/decisions/dispatcher_state.py
+++ b/cardamombarrow/decisions/dispatcher_state.py
@@ -22,7 +22,7 @@
         self._context = context
         self._policies = policies.Policies(context)
         self._roster = roster.Roster(context, self._policies)
-        self._waiting = waiting.Waiting()
+        self._waiting = waiting.WaitingJobs()
         self.configure(context.document, now_s)
 
     def configure(self, document: schema.Document, now_s: float) -> None:
@@ -45,7 +45,7 @@
 
     def set_instances(self, count: int) -> None:
         """Sets how many instances share the limits on the whole fleet."""
-        self._context.fleet.heard(count)
+        self._context.fleet.update_instances(count)
 
     def refresh_shares(self, now_s: float) -> None:
         """Recomputes this instance's slots on every endpoint."""
@@ -106,15 +106,17 @@
         """Returns this instance's demand, for gossip."""
         return self._roster.demand(self._waiting.demand, now_s)
 
-    def take_cache_announcements(self, now_s: float) -> list[messages.KeptNews]:
+    def take_cache_announcements(
+        self, now_s: float
+    ) -> list[messages.CacheAnnouncement]:
         """Returns and clears pending cache announcements to other instances."""
-        return self._policies.choice.take_news(now_s)
+        return self._policies.choice.take_announcements(now_s)
 
     def merge_cache_announcements(
-        self, news: abc.Iterable[messages.KeptNews], now_s: float
+        self, news: abc.Iterable[messages.CacheAnnouncement], now_s: float
     ) -> None:
         """Merges cache announcements from other instances."""
-        self._policies.choice.hear(news, now_s)
+        self._policies.choice.merge_announcements(news, now_s)
 
     def quarantine_marks(self, now_s: float) -> dict[ids.Fingerprint, float]:
         """Returns quarantined fingerprints and their remaining seconds."""
@@ -129,7 +131,7 @@
     def set_peer_loads(
         self,
         instance: ids.InstanceId,
-        loads: abc.Mapping[ids.EndpointId, messages.OthersLoad],
+        loads: abc.Mapping[ids.EndpointId, messages.PeerLoad],
     ) -> None:
         """Sets the load on endpoints from another placing instance."""
         self._roster.set_peer_loads(instance, loads)
@@ -140,7 +142,7 @@
 
     def own_loads(
         self, now_s: float
-    ) -> dict[ids.EndpointId, messages.OthersLoad]:
+    ) -> dict[ids.EndpointId, messages.PeerLoad]:
         """Returns this instance's load by endpoint, to report to others."""
         return {
             state.endpoint: state.own_load(now_s)
--- a/cardamombarrow/decisions/endpoint.py
+++ b/cardamombarrow/decisions/endpoint.py
@@ -31,7 +31,7 @@
     )
     share: int = 0
     report: messages.LoadReport | None = None
-    peer_loads: dict[ids.InstanceId, messages.OthersLoad] = dataclasses.field(
+    peer_loads: dict[ids.InstanceId, messages.PeerLoad] = dataclasses.field(
         default_factory=dict
     )
 
@@ -96,14 +96,14 @@
         )
         return sum(max(prefill_s, 0.0) for prefill_s in remaining_s)
 
-    def own_load(self, now_s: float) -> messages.OthersLoad:
+    def own_load(self, now_s: float) -> messages.PeerLoad:
         """Returns this instance's load on it, to report to other instances."""
         unread = [
             run.job.unread_tokens
             for run in self.running.values()
             if run.first_token_s is None
         ]
-        return messages.OthersLoad(
+        return messages.PeerLoad(
             tuple(sorted(run.job.rank for run in self.running.values())),
             len(unread),
             sum(unread),
--- a/cardamombarrow/decisions/engine_caches.py
+++ b/cardamombarrow/decisions/engine_caches.py
@@ -32,7 +32,7 @@
         self._cached_tokens: dict[ids.EndpointId, int] = {}
         self._domains: dict[ids.EndpointId, ids.DomainId] = {}
 
-    def consider(
+    def prepare(
         self,
         job: messages.Job,
         states: list[endpoint_module.EndpointState],
@@ -63,16 +63,16 @@
         job: messages.Job,
         state: endpoint_module.EndpointState,
         affinity: ids.EndpointId | None,
-        is_sound: IsSound,
+        is_healthy: IsSound,
         now_s: float,
     ) -> messages.Fetch | None:
         """Returns where the chosen engine fetches cached parts from.
 
         Args:
-            job: The job, which `consider` has set.
+            job: The job, which `prepare` has set.
             state: The chosen engine.
             affinity: Affinity endpoint of the prompt's prefix.
-            is_sound: Returns whether an engine has not failed recently. A
+            is_healthy: Returns whether an engine has not failed recently. A
                 fetch from an unresponsive engine would block.
             now_s: Current time.
         """
@@ -88,7 +88,7 @@
                 tokens, self._domains.get(endpoint) == state.domain, endpoint
             )
             for endpoint, tokens in holders.items()
-            if endpoint != state.endpoint and is_sound(endpoint)
+            if endpoint != state.endpoint and is_healthy(endpoint)
         ]
         target_s = job.target_first_token_s
         source = fetching.select_source(own_tokens, sources, target_s)
--- a/cardamombarrow/decisions/first_event.py
+++ b/cardamombarrow/decisions/first_event.py
@@ -123,7 +123,7 @@
 class FirstEventChoice(cost_choice.LowestCostChoice):
     """Lowest expected time to first token among all candidates."""
 
-    displaces = True
+    engine_preempts = True
 
     def __init__(self, context: context_module.PolicyContext):
         super().__init__(context)
@@ -197,7 +197,7 @@
             return share * target_s if is_for_short else 0.0
         return 0.0 if is_for_short else SHORT_REQUEST_PENALTY_S
 
-    def consider(
+    def prepare(
         self,
         job: messages.Job,
         states: list[endpoint_module.EndpointState],
@@ -211,9 +211,9 @@
             job.request_id,
             affinity and affinity.endpoint,
         )
-        self._caches.consider(job, states, now_s)
+        self._caches.prepare(job, states, now_s)
 
-    def patience_s(self, job: messages.Job) -> float | None:
+    def recheck_after_s(self, job: messages.Job) -> float | None:
         """Returns how long a long prompt waits for its affinity endpoint."""
         if not job.prefix_key:
             return None
@@ -252,8 +252,8 @@
         request_id, affinity = self._considered_affinity
         if request_id != job.request_id or affinity in (None, state.endpoint):
             return True
-        patience_s = self.patience_s(job) or 0.0
-        return now_s - job.arrived_s >= patience_s
+        recheck_after_s = self.recheck_after_s(job) or 0.0
+        return now_s - job.arrived_s >= recheck_after_s
 
     def configure(self, document: schema.Document) -> None:
         """Applies the shortest pause of a newer document."""
@@ -279,7 +279,7 @@
         job.unread_tokens = max(uncached - fetched, 0.0)
         self._caches.record_sent(job, state.endpoint, now_s)
 
-    def placed_elsewhere(
+    def on_remote_placement(
         self,
         job: messages.Job,
         state: endpoint_module.EndpointState,
@@ -311,8 +311,8 @@
         ):
             return None
         _, affinity = self._considered_affinity
-        is_sound = self._failures.is_sound
-        return self._caches.fetch(job, state, affinity, is_sound, now_s)
+        is_healthy = self._failures.is_healthy
+        return self._caches.fetch(job, state, affinity, is_healthy, now_s)
 
     def fetch(
         self,
@@ -323,12 +323,16 @@
         """Returns where the endpoint just chosen fetches cached parts from."""
         return self._fetch
 
-    def take_news(self, now_s: float) -> list[messages.KeptNews]:
+    def take_announcements(
+        self, now_s: float
+    ) -> list[messages.CacheAnnouncement]:
         """Returns parts prefilled recently, for the other instances."""
         return self._caches.directory.take_announcements(now_s)
 
-    def hear(
-        self, news: collections_abc.Iterable[messages.KeptNews], now_s: float
+    def merge_announcements(
+        self,
+        news: collections_abc.Iterable[messages.CacheAnnouncement],
+        now_s: float,
     ) -> None:
         """Merges parts that other instances report as cached."""
         self._caches.directory.merge_announcements(news, now_s)
@@ -474,5 +478,5 @@
         self._expected_s.pop(running.job.request_id, None)
         if outcome is messages.Outcome.CRASHED:
             self._caches.directory.remove_engine(state.endpoint)
-        elif running.first_token_s is None and outcome in failures.UNSEEN:
+        elif running.first_token_s is None and outcome in failures.NOT_RECEIVED:
             self._caches.remove_sent(running.job, state.endpoint)
--- a/cardamombarrow/decisions/policies.py
+++ b/cardamombarrow/decisions/policies.py
@@ -1,4 +1,4 @@
-"""One policy object per slot, as the document names them."""
+"""The policy objects that the document selects, one for each slot."""
 
 import dataclasses
 
@@ -27,7 +27,7 @@
 
 
 class Policies:
-    """The policies in force; one is rebuilt when its name changes."""
+    """The policies in force; a policy is rebuilt when its name changes."""
 
     queue: base.Queue
     admission: base.Admission
@@ -53,7 +53,7 @@
     def configure(
         self, context: context_module.PolicyContext, now_s: float
     ) -> None:
-        """Takes a newer document; a renamed policy starts afresh."""
+        """Applies a newer document; a policy with a new name is rebuilt."""
         new = context.document.policies
         for field in dataclasses.fields(schema.Policies):
             slot = field.name
--- a/cardamombarrow/decisions/rate_limits.py
+++ b/cardamombarrow/decisions/rate_limits.py
@@ -153,8 +153,8 @@
             if previous is None:
                 if limit.per_s is None:
                     return None
-                previous = messages.RateLimit(None, limit.heard_s)
-            elif limit.heard_s < previous.heard_s:
+                previous = messages.RateLimit(None, limit.received_s)
+            elif limit.received_s < previous.received_s:
                 return None
             self._store(endpoint, limit, is_direct)
             return previous if previous.per_s != limit.per_s else None
@@ -204,7 +204,7 @@
                 endpoint: limit
                 for endpoint, limit in self._received.items()
                 if limit.per_s is not None
-                or now_s - limit.heard_s < ANNOUNCE_END_S
+                or now_s - limit.received_s < ANNOUNCE_END_S
             }
 
     # -- sending --------------------------------------------------------------
--- a/cardamombarrow/decisions/tests/test_cache_directory.py
+++ b/cardamombarrow/decisions/tests/test_cache_directory.py
@@ -90,7 +90,7 @@
     # It would circulate between the instances forever.
     one = cache_directory.KeptParts()
     key = cache_directory.part_key("one")
-    one.merge_announcements([messages.KeptNews(_A, (key,), 0.0)], 1.0)
+    one.merge_announcements([messages.CacheAnnouncement(_A, (key,), 0.0)], 1.0)
     one.announce(key, _A, 2.0)
     assert not one.take_announcements(2.0)
 
--- a/cardamombarrow/decisions/tests/test_others_load.py
+++ b/cardamombarrow/decisions/tests/test_others_load.py
@@ -26,8 +26,8 @@
 
 def test_reported_prefill_decreases_with_time():
     state = _state()
-    state.peer_loads[_PEER] = messages.OthersLoad((0, 0), 2, 10_000.0, 100.0)
-    state.peer_loads[_OTHER_PEER] = messages.OthersLoad((0,), 1, 1_000.0, 100.0)
+    state.peer_loads[_PEER] = messages.PeerLoad((0, 0), 2, 10_000.0, 100.0)
+    state.peer_loads[_OTHER_PEER] = messages.PeerLoad((0,), 1, 1_000.0, 100.0)
     token_s = 0.0001
     assert state.peer_prefill_s(token_s, 100.0) == pytest.approx(1.1)
     assert state.peer_prefill_s(token_s, 100.5) == pytest.approx(0.5)
@@ -81,13 +81,11 @@
     # A burst in another domain fills engines here. Further requests would wait
     # inside the engine, where an urgent one can't overtake them.
     full, *others = many_entries.ENDPOINTS
-    loads = {
-        each: messages.OthersLoad((0,) * 12, 0, 0.0, 0.0) for each in others
-    }
+    loads = {each: messages.PeerLoad((0,) * 12, 0, 0.0, 0.0) for each in others}
     dispatcher.set_peer_loads(_PEER, loads)
     assert _place(dispatcher, 1) == [full]
     dispatcher.set_peer_loads(
-        _PEER, {full: messages.OthersLoad((0,) * 12, 0, 0.0, 0.0)}
+        _PEER, {full: messages.PeerLoad((0,) * 12, 0, 0.0, 0.0)}
     )
     assert _place(dispatcher, 2) == []
     dispatcher.remove_peer_loads(_PEER)
@@ -97,7 +95,7 @@
 def test_endpoint_with_reported_prefill_is_avoided(dispatcher):
     free = many_entries.ENDPOINTS[3]
     loads = {
-        each: messages.OthersLoad((0,), 1, 50_000.0, 0.0)
+        each: messages.PeerLoad((0,), 1, 50_000.0, 0.0)
         for each in many_entries.ENDPOINTS
         if each != free
     }
@@ -132,7 +130,7 @@
     # Long digests hold every slot for seconds. An urgent question that waits
     # for one of them to end is late, though the engine would preempt one.
     full = dict.fromkeys(
-        many_entries.ENDPOINTS, messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
+        many_entries.ENDPOINTS, messages.PeerLoad((2,) * 12, 0, 0.0, 0.0)
     )
     dispatcher.set_peer_loads(_PEER, full)
     assert dispatcher.offer(_long(1), 0.0) is None
@@ -145,9 +143,9 @@
     # prefill; the free slot costs nothing.
     endpoints = [(driver.DOMAIN, each) for each in many_entries.ENDPOINTS]
     free = min(length_partition.short_request_endpoints(endpoints))
-    digests = messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
+    digests = messages.PeerLoad((2,) * 12, 0, 0.0, 0.0)
     loads = dict.fromkeys(many_entries.ENDPOINTS, digests)
-    loads[free] = messages.OthersLoad((2,) * 11, 1, 3_000.0, 0.0)
+    loads[free] = messages.PeerLoad((2,) * 11, 1, 3_000.0, 0.0)
     dispatcher.set_peer_loads(_PEER, loads)
     assert _place(dispatcher, 1) == [free]
 
@@ -157,7 +155,7 @@
     # urgent request sent there all the same would be late or lost.
     dispatcher = _whole_domain(choice="two-candidates")
     full = dict.fromkeys(
-        many_entries.ENDPOINTS, messages.OthersLoad((2,) * 12, 0, 0.0, 0.0)
+        many_entries.ENDPOINTS, messages.PeerLoad((2,) * 12, 0, 0.0, 0.0)
     )
     dispatcher.set_peer_loads(_PEER, full)
     assert _place(dispatcher, 1) == []
--- a/cardamombarrow/decisions/tests/test_rate_limits.py
+++ b/cardamombarrow/decisions/tests/test_rate_limits.py
@@ -16,8 +16,8 @@
 _ENDPOINT = "10.0.0.1:80"
 
 
-def _limit(per_s, heard_s):
-    return messages.RateLimit(per_s, heard_s)
+def _limit(per_s, received_s):
+    return messages.RateLimit(per_s, received_s)
 
 
 def test_limit_applies_until_an_answer_replaces_it():
@@ -193,8 +193,8 @@
 
 def test_placer_decides_plain_calls_while_a_limit_applies(dispatcher, new_job):
     job = new_job(streams=False)
-    assert not dispatcher.may_ask(job, 0.0)
+    assert not dispatcher.may_place_remotely(job, 0.0)
     _advertise(dispatcher, _LOCAL[:1], 5.0)
-    assert dispatcher.may_ask(job, 0.0)
+    assert dispatcher.may_place_remotely(job, 0.0)
     _advertise(dispatcher, _LOCAL[:1], None, 1.0)
-    assert not dispatcher.may_ask(job, 1.0)
+    assert not dispatcher.may_place_remotely(job, 1.0)
--- a/cardamombarrow/entry/broker.py
+++ b/cardamombarrow/entry/broker.py
@@ -49,7 +49,7 @@
             now_s = self._clock.now_s()
             use_placer = self._use_placer(job, now_s)
             offer = (
-                self._dispatcher.announce
+                self._dispatcher.await_remote_placement
                 if use_placer
                 else self._dispatcher.offer
             )
@@ -68,8 +68,9 @@
         return ticket
 
     def _use_placer(self, job: messages.Job, now_s: float) -> bool:
-        return self._remote_placer.is_connected() and self._dispatcher.may_ask(
-            job, now_s
+        return (
+            self._remote_placer.is_connected()
+            and self._dispatcher.may_place_remotely(job, now_s)
         )
 
     def resubmit(
@@ -89,7 +90,7 @@
                 return None
             self._tickets[job.request_id] = new_ticket
             attempts = job.attempts
-            if self._dispatcher.is_announced(job.request_id):
+            if self._dispatcher.awaits_remote_placement(job.request_id):
                 self._remote_placer.ask(job)
             lines = self._run_due()
             self._wake_if_earlier()
@@ -119,7 +120,7 @@
         lines: list[decision_lines.DecisionLine] = []
         with self._lock:
             request_id = ticket.job.request_id
-            if self._dispatcher.is_announced(request_id):
+            if self._dispatcher.awaits_remote_placement(request_id):
                 self._remote_placer.withdraw(request_id)
             if self._dispatcher.withdraw(request_id):
                 del self._tickets[request_id]
@@ -181,7 +182,7 @@
                 if ticket is not None:
                     ticket.preempt(decision)
                 return True
-            if ticket is None or not self._dispatcher.is_announced(
+            if ticket is None or not self._dispatcher.awaits_remote_placement(
                 answer.request_id
             ):
                 return True
@@ -191,7 +192,7 @@
             else:
                 applied = decision.kind in _FINAL_REFUSALS
                 if applied:
-                    self._dispatcher.refused_elsewhere(answer.request_id)
+                    self._dispatcher.drop_remote_placement(answer.request_id)
                     del self._tickets[answer.request_id]
                     ticket.placed.set_exception(_refused(ticket.job, decision))
             if applied:
@@ -220,7 +221,7 @@
         job = ticket.job
         job.unread_tokens = answer.unread_tokens
         job.expected_tokens = answer.expected_tokens
-        adopted = self._dispatcher.adopt(
+        adopted = self._dispatcher.apply_remote_placement(
             job.request_id, placement, self._clock.now_s()
         )
         if adopted:
@@ -237,14 +238,14 @@
         return dataclasses.replace(
             placement,
             limit_per_s=limit.per_s,
-            limit_age_s=self._clock.now_s() - limit.heard_s,
+            limit_age_s=self._clock.now_s() - limit.received_s,
         )
 
     def fall_back(self, request_id: ids.RequestId, reason: str) -> None:
         """Decides locally on a request on which the placer has not decided."""
         with self._lock:
             now_s = self._clock.now_s()
-            if not self._dispatcher.decide_here(request_id, now_s):
+            if not self._dispatcher.queue_locally(request_id, now_s):
                 return
             lines = self._run_due()
             self._wake_if_earlier()
@@ -265,7 +266,7 @@
                 if running.job.streams
             ]
 
-    def own_loads(self) -> dict[ids.EndpointId, messages.OthersLoad]:
+    def own_loads(self) -> dict[ids.EndpointId, messages.PeerLoad]:
         """Returns the load on endpoints from decisions made here."""
         with self._lock:
             return self._dispatcher.own_loads(self._clock.now_s())
@@ -273,7 +274,7 @@
     def set_peer_loads(
         self,
         instance: ids.InstanceId,
-        loads: dict[ids.EndpointId, messages.OthersLoad],
+        loads: dict[ids.EndpointId, messages.PeerLoad],
     ) -> None:
         """Sets the load that another domain's placer has on endpoints."""
         with self._lock:
@@ -288,14 +289,14 @@
             lines = self._run_due()
         decision_lines.write(lines)
 
-    def take_run(self, run: placing_messages.Run) -> bool:
+    def add_remote_run(self, run: placing_messages.Run) -> bool:
         """Adds a request that an entry of the domain placed by itself.
 
         Returns:
             False if its endpoint is not known.
         """
         with self._lock:
-            return self._dispatcher.take_run(
+            return self._dispatcher.add_remote_run(
                 run.job,
                 run.endpoint,
                 run.placed_s,
--- a/cardamombarrow/entry/broker_base.py
+++ b/cardamombarrow/entry/broker_base.py
@@ -274,7 +274,7 @@
             per_s=limit.per_s,
             before_per_s=before.per_s,
             source=source,
-            age_s=round(self._clock.now_s() - limit.heard_s, 3),
+            age_s=round(self._clock.now_s() - limit.received_s, 3),
             delegate=self._context.rate_limits.is_delegate,
         )
         return True
@@ -342,14 +342,16 @@
         with self._lock:
             self._dispatcher.remove_peer(instance)
 
-    def take_cache_announcements(self) -> list[messages.KeptNews]:
+    def take_cache_announcements(self) -> list[messages.CacheAnnouncement]:
         """Returns changes in engines' caches, to be sent to other instances."""
         with self._lock:
             return self._dispatcher.take_cache_announcements(
                 self._clock.now_s()
             )
 
-    def merge_cache_announcements(self, news: list[messages.KeptNews]) -> None:
+    def merge_cache_announcements(
+        self, news: list[messages.CacheAnnouncement]
+    ) -> None:
         """Records changes in engines' caches that other instances report."""
         with self._lock:
             self._dispatcher.merge_cache_announcements(
--- a/cardamombarrow/entry/placer.py
+++ b/cardamombarrow/entry/placer.py
@@ -153,7 +153,7 @@
         """Records a request that its entry placed by its own decision."""
         if owner.is_full or run.job.request_id in owner.tickets:
             return
-        if self._broker.take_run(run):
+        if self._broker.add_remote_run(run):
             owner.runs.add(run.job.request_id)
 
     def first_token_received(
@@ -194,14 +194,14 @@
             return
         self._broker.withdraw(ticket)
 
-    def own_loads(self) -> dict[ids.EndpointId, messages.OthersLoad]:
+    def own_loads(self) -> dict[ids.EndpointId, messages.PeerLoad]:
         """Returns the load from decisions made here; empty without owners."""
         return self._broker.own_loads() if self._owners else {}
 
     def set_peer_loads(
         self,
         instance: ids.InstanceId,
-        loads: dict[ids.EndpointId, messages.OthersLoad],
+        loads: dict[ids.EndpointId, messages.PeerLoad],
     ) -> None:
         """Sets the load that another domain's placer has on endpoints."""
         if self._broker is not None:
--- a/cardamombarrow/peers/cache_report_codec.py
+++ b/cardamombarrow/peers/cache_report_codec.py
@@ -11,7 +11,7 @@
 
 
 def cache_reports_to_wire(
-    news: abc.Iterable[messages.KeptNews],
+    news: abc.Iterable[messages.CacheAnnouncement],
 ) -> list[control_pb2.KeptParts]:
     """Converts hints about the caches of engines."""
     return [
@@ -27,10 +27,10 @@
 def cache_reports_from_wire(
     wire: abc.Iterable[control_pb2.KeptParts],
     known: abc.Mapping[int, ids.EndpointId],
-) -> list[messages.KeptNews]:
+) -> list[messages.CacheAnnouncement]:
     """Converts hints back; leaves out endpoints that are not known here."""
     return [
-        messages.KeptNews(
+        messages.CacheAnnouncement(
             known[each.endpoint], tuple(each.parts), each.age_ms / 1_000
         )
         for each in wire
--- a/cardamombarrow/peers/load_publisher.py
+++ b/cardamombarrow/peers/load_publisher.py
@@ -40,8 +40,8 @@
 IDLE_CHECK_S = 0.5
 """Time between two checks of whether this instance is a placer."""
 
-_Loads = dict[ids.EndpointId, messages.OthersLoad]
-_NO_LOAD = messages.OthersLoad((), 0, 0.0, 0.0)
+_Loads = dict[ids.EndpointId, messages.PeerLoad]
+_NO_LOAD = messages.PeerLoad((), 0, 0.0, 0.0)
 
 
 def changed(before: _Loads, now: _Loads) -> _Loads:
@@ -61,7 +61,7 @@
 
 
 def _figures(
-    load: messages.OthersLoad,
+    load: messages.PeerLoad,
 ) -> tuple[tuple[int, ...], int, int]:
     return load.ranks, load.unread, round(load.unread_tokens)
 
--- a/cardamombarrow/peers/rate_limit_gossip.py
+++ b/cardamombarrow/peers/rate_limit_gossip.py
@@ -55,4 +55,4 @@
 
 def _is_due(published: messages.RateLimit, limit: messages.RateLimit) -> bool:
     changed = published.per_s != limit.per_s
-    return changed or limit.heard_s - published.heard_s >= RENEWAL_S
+    return changed or limit.received_s - published.received_s >= RENEWAL_S
