--- a/cardamombarrow/control/core.py
+++ b/cardamombarrow/control/core.py
@@ -115,7 +115,7 @@
             self._other_controls,
             peers.secret,
             self._state.service.followers,
-            self._state.service.cache_reports,
+            self._state.service.cache_announcements,
             self._state.service.collector,
             lambda: self._log.status().role == "leader",
         )
--- a/cardamombarrow/entry/peering.py
+++ b/cardamombarrow/entry/peering.py
@@ -27,7 +27,7 @@
 from cardamombarrow.metering import agreed_time
 from cardamombarrow.metering import meter as meter_module
 from cardamombarrow.metering import tables
-from cardamombarrow.peers import cache_report_codec
+from cardamombarrow.peers import cache_announcement_codec
 from cardamombarrow.peers import confirmation_loop as confirmation_loop_module
 from cardamombarrow.peers import control_client
 from cardamombarrow.peers import control_pb2
@@ -106,7 +106,7 @@
         self._placer: placer_module.Placer | None = None
         self._load_publisher: load_publisher.LoadPublisher | None = None
         self._found_endpoints: tuple[messages.KnownEndpoint, ...] = ()
-        self._cache_report_number = 0
+        self._cache_announcement_number = 0
         self.control = control_client.ControlClient(
             self._loop,
             settings.peers.control_addresses(),
@@ -159,8 +159,10 @@
             instance=self._instance,
             domain=self._domain,
             applied_revision=self._documents.revision,
-            kept=cache_report_codec.cache_reports_to_wire(cache_changes),
-            kept_since=self._cache_report_number,
+            kept=cache_announcement_codec.cache_announcements_to_wire(
+                cache_changes
+            ),
+            kept_since=self._cache_announcement_number,
             usage=[
                 metering_collector.usage_to_wire(
                     tables.SourceCounts(
@@ -204,10 +206,12 @@
             self.control.set_controls(tuple(reply.controls))
         if self._broker is not None:
             self._broker.set_instances(max(reply.entry_count, 1))
-            self._cache_report_number = reply.kept_number
+            self._cache_announcement_number = reply.kept_number
             known = self.membership.endpoints_by_hash()
             self._broker.merge_cache_announcements(
-                cache_report_codec.cache_reports_from_wire(reply.kept, known)
+                cache_announcement_codec.cache_announcements_from_wire(
+                    reply.kept, known
+                )
             )
         if self._load_publisher is not None:
             self._load_publisher.set_placers(reply.placers)
--- a/cardamombarrow/peers/cache_report_codec.py
+++ b/cardamombarrow/peers/cache_announcement_codec.py
@@ -7,10 +7,10 @@
 from cardamombarrow.kernel import ids
 from cardamombarrow.peers import control_pb2
 
-__all__ = ["cache_reports_from_wire", "cache_reports_to_wire"]
+__all__ = ["cache_announcements_from_wire", "cache_announcements_to_wire"]
 
 
-def cache_reports_to_wire(
+def cache_announcements_to_wire(
     news: abc.Iterable[messages.CacheAnnouncement],
 ) -> list[control_pb2.KeptParts]:
     """Converts hints about the caches of engines."""
@@ -24,7 +24,7 @@
     ]
 
 
-def cache_reports_from_wire(
+def cache_announcements_from_wire(
     wire: abc.Iterable[control_pb2.KeptParts],
     known: abc.Mapping[int, ids.EndpointId],
 ) -> list[messages.CacheAnnouncement]:
--- a/cardamombarrow/peers/cache_report_relay.py
+++ b/cardamombarrow/peers/cache_announcement_relay.py
@@ -16,7 +16,7 @@
 
 from cardamombarrow.peers import control_pb2
 
-__all__ = ["CacheReportRelay"]
+__all__ = ["CacheAnnouncementRelay"]
 
 REPORT_TTL_S = 5.0
 """How long a report is relayed: several requests of entries and of other
@@ -41,7 +41,7 @@
     parts: control_pb2.KeptParts
 
 
-class CacheReportRelay:
+class CacheAnnouncementRelay:
     """Recent reports, in the order of arrival.
 
     Numbers begin at a random value, so that a number of another process, or of
--- a/cardamombarrow/peers/control_service.py
+++ b/cardamombarrow/peers/control_service.py
@@ -11,7 +11,7 @@
 from cardamombarrow.kernel import errors
 from cardamombarrow.kernel import ids
 from cardamombarrow.log import base
-from cardamombarrow.peers import cache_report_relay
+from cardamombarrow.peers import cache_announcement_relay
 from cardamombarrow.peers import codec
 from cardamombarrow.peers import confirmation_batcher as batcher_module
 from cardamombarrow.peers import control_grpc
@@ -46,8 +46,8 @@
         self._log = log
         self._accepted = accepted
         self._batcher = batcher_module.ConfirmationBatcher(log)
-        self.cache_reports = cache_report_relay.CacheReportRelay(
-            random.Random()
+        self.cache_announcements = (
+            cache_announcement_relay.CacheAnnouncementRelay(random.Random())
         )
         self.collector = metering_collector.MeteringCollector()
         self.followers = followers_module.Followers(
@@ -91,7 +91,9 @@
         """Answers with the newest revision, confirmed by a majority."""
         request = await stream.recv_message()
         reply = control_pb2.ConfirmReply()
-        self.cache_reports.put(request.kept, request.instance, time.monotonic())
+        self.cache_announcements.put(
+            request.kept, request.instance, time.monotonic()
+        )
         self.collector.merge_request(request)
         if await self._batcher.confirm():
             reply.confirmed = True
@@ -107,7 +109,7 @@
                 self.followers.addresses(domain, MAX_ENTRY_ADDRESSES)
             )
             reply.placers.extend(self.followers.placers(domain))
-            reports, reply.kept_number = self.cache_reports.since(
+            reports, reply.kept_number = self.cache_announcements.since(
                 request.kept_since, request.instance, time.monotonic()
             )
             reply.kept.extend(reports)
@@ -119,7 +121,7 @@
         """Answers with the known entries and the data that they reported."""
         request = await stream.recv_message()
         reply = self.followers.rows()
-        reports, reply.kept_number = self.cache_reports.own_since(
+        reports, reply.kept_number = self.cache_announcements.own_since(
             request.kept_since, time.monotonic()
         )
         reply.kept.extend(reports)
--- a/cardamombarrow/peers/follower_exchange.py
+++ b/cardamombarrow/peers/follower_exchange.py
@@ -11,7 +11,7 @@
 from grpclib import client
 
 from cardamombarrow.kernel import clock
-from cardamombarrow.peers import cache_report_relay
+from cardamombarrow.peers import cache_announcement_relay
 from cardamombarrow.peers import control_client
 from cardamombarrow.peers import control_grpc
 from cardamombarrow.peers import control_pb2
@@ -35,7 +35,7 @@
         controls: abc.Callable[[], set[str]],
         secret: str,
         table: followers_module.Followers,
-        cache_reports: cache_report_relay.CacheReportRelay,
+        cache_announcements: cache_announcement_relay.CacheAnnouncementRelay,
         collector: metering_collector.MeteringCollector,
         leads: abc.Callable[[], bool],
     ):
@@ -46,7 +46,7 @@
             controls: Returns the addresses of the other control processes.
             secret: Shared secret that authenticates the instances.
             table: The known entries.
-            cache_reports: What entries share about the caches of engines.
+            cache_announcements: What entries share about the caches of engines.
             collector: Usage and demand counted by entries.
             leads: Returns whether this process leads the log and therefore
                 needs the usage of all entries.
@@ -55,7 +55,7 @@
         self._controls = controls
         self._secret = secret
         self._table = table
-        self._cache_reports = cache_reports
+        self._cache_announcements = cache_announcements
         self._collector = collector
         self._leads = leads
         self._boot_clock = clock.BootClock()
@@ -121,7 +121,7 @@
     ) -> None:
         """Applies a reply and sets its numbers in the next request."""
         self._table.merge(reply)
-        self._cache_reports.put(reply.kept, "", time.monotonic())
+        self._cache_announcements.put(reply.kept, "", time.monotonic())
         request.kept_since = reply.kept_number
         self._collector.merge_reply(address, asked_s, reply)
         if reply.usage_number:
--- a/cardamombarrow/peers/tests/test_cache_report_relay.py
+++ b/cardamombarrow/peers/tests/test_cache_announcement_relay.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from cardamombarrow.peers import cache_report_relay
+from cardamombarrow.peers import cache_announcement_relay
 from cardamombarrow.peers import control_pb2
 
 
 @pytest.fixture
 def board():
-    return cache_report_relay.CacheReportRelay(random.Random(1))
+    return cache_announcement_relay.CacheAnnouncementRelay(random.Random(1))
 
 
 def _parts(endpoint, *parts, age_ms=0):
@@ -50,7 +50,7 @@
     # The control process has restarted, or the entry follows another one. By
     # the old number the entry would never get any reports.
     board.put([_parts(7, 1)], "entry-1", 0.0)
-    other = cache_report_relay.CacheReportRelay(random.Random(2))
+    other = cache_announcement_relay.CacheAnnouncementRelay(random.Random(2))
     other.put([_parts(1, 1)], "entry-3", 0.0)
     _, number = other.since(0, "entry-2", 0.1)
     assert len(board.since(number, "entry-2", 0.1)[0]) == 1
@@ -58,13 +58,15 @@
 
 def test_stored_and_returned_reports_are_bounded(board):
     # A busy domain sends reports while nothing requests them.
-    for step in range(2 * cache_report_relay.MAX_GROUPS):
+    for step in range(2 * cache_announcement_relay.MAX_GROUPS):
         board.put([_parts(step, *range(10))], "entry-1", 0.0)
     reports, _ = board.since(0, "entry-2", 0.1)
     count = sum(len(each.parts) for each in reports)
-    assert count <= cache_report_relay.MAX_PARTS_PER_REPLY + 10
-    assert reports[0].endpoint == 2 * cache_report_relay.MAX_GROUPS - 1
+    assert count <= cache_announcement_relay.MAX_PARTS_PER_REPLY + 10
+    assert reports[0].endpoint == 2 * cache_announcement_relay.MAX_GROUPS - 1
     assert (
-        board.since(0, "entry-2", cache_report_relay.REPORT_TTL_S + 0.1)[0]
+        board.since(0, "entry-2", cache_announcement_relay.REPORT_TTL_S + 0.1)[
+            0
+        ]
         == []
     )
