--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements: decisions in virtual time, cost of a decision, a real burst.
+"""Benchmarks of the decisions, in virtual time, and of real processes.
 
 ``python -m benchmarks`` prints a table per load pattern.
 """
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m benchmarks``: a table per load pattern, ours and baselines."""
+"""``python -m benchmarks``: a table per load pattern.
+
+Each table compares the default policies with the baseline policies.
+"""
 
 import argparse
 from collections import abc
@@ -27,11 +30,11 @@
     estimate="mean",
 )
 
-_ALL = {**patterns.PATTERNS, **many_entries.PATTERNS}
+_ALL_PATTERNS = {**patterns.PATTERNS, **many_entries.PATTERNS}
 
-_HEAD = (
-    "| policies | class | offered | whole | in time | best | refusals "
-    "| worst wait s | least in 10 s | goodput | best | wasted |"
+_HEADER = (
+    "| policies | class | offered | completed | in time | bound | refusals "
+    "| worst wait s | min in 10 s | goodput | bound | wasted |"
 )
 
 
@@ -50,15 +53,15 @@
 
 
 def _variants(
-    pattern: patterns.Pattern, ours: schema.Policies, every_slot: bool
+    pattern: patterns.Pattern, compared: schema.Policies, every_slot: bool
 ) -> abc.Iterator[tuple[str, schema.Policies]]:
-    yield "ours", ours
+    yield "ours", compared
     yield "all baselines", BASELINE
     slots = [field.name for field in dataclasses.fields(schema.Policies)]
     for slot in slots if every_slot else pattern.slots:
         name = getattr(BASELINE, slot)
-        if getattr(ours, slot) != name:
-            changed = dataclasses.replace(ours, **{slot: name})
+        if getattr(compared, slot) != name:
+            changed = dataclasses.replace(compared, **{slot: name})
             yield f"{slot}={name}", changed
 
 
@@ -74,13 +77,13 @@
         )
 
 
-def _extras(name: str, result: results.Result) -> str:
+def _summary(name: str, result: results.Result) -> str:
     return (
-        f"{name}: crashes {result.crashes:.1f}, innocents lost "
+        f"{name}: crashes {result.crashes:.1f}, harmless requests failed "
         f"{result.innocents_lost:.1f} and quarantined "
         f"{result.innocents_quarantined:.1f}, prompt tokens from cache "
         f"{result.cached_share:.3f} and fetched {result.fetched_share:.3f}, "
-        f"most over an endpoint's limit "
+        f"max over an endpoint's limit "
         f"{result.most_over_limit:.0f}"
     )
 
@@ -95,41 +98,41 @@
         action="append",
         default=[],
         metavar="SLOT=NAME",
-        help="a policy of ours other than the document's default",
+        help="replace a default policy in the compared set",
     )
     parser.add_argument(
         "--every-slot",
         action="store_true",
-        help="put each slot's baseline in, not just the pattern's own",
+        help="compare the baseline of every slot, not only the pattern's",
     )
     options = parser.parse_args()
-    unknown = set(options.patterns) - set(_ALL)
+    unknown = set(options.patterns) - set(_ALL_PATTERNS)
     if unknown:
-        known = ", ".join(_ALL)
+        known = ", ".join(_ALL_PATTERNS)
         parser.error(f"unknown: {', '.join(unknown)}; known: {known}")
     chosen = dict(item.split("=", 1) for item in options.set)
-    ours = dataclasses.replace(schema.Policies(), **chosen)
-    for name in options.patterns or _ALL:
-        _print(_ALL[name], ours, options)
+    compared = dataclasses.replace(schema.Policies(), **chosen)
+    for name in options.patterns or _ALL_PATTERNS:
+        _print(_ALL_PATTERNS[name], compared, options)
 
 
 def _print(
     pattern: patterns.Pattern,
-    ours: schema.Policies,
+    compared: schema.Policies,
     options: argparse.Namespace,
 ) -> None:
     started_s = time.monotonic()
     print(f"\n### {pattern.name} ({options.seeds} seeds)\n")
-    print(_HEAD)
+    print(_HEADER)
     print("|---" * 12 + "|")
-    extras = []
-    for name, policies in _variants(pattern, ours, options.every_slot):
+    summaries = []
+    for name, policies in _variants(pattern, compared, options.every_slot):
         result = run(pattern, policies, options.seeds)
         for row in _rows(name, result):
             print(row)
-        extras.append(_extras(name, result))
+        summaries.append(_summary(name, result))
     print()
-    for line in extras:
+    for line in summaries:
         print(f"- {line}")
     print(f"\n({time.monotonic() - started_s:.1f} s)")
 
--- a/benchmarks/asked_driver.py
+++ b/benchmarks/asked_driver.py
@@ -1,7 +1,7 @@
-"""The driver with a placer: the entries ask one dispatcher for the domain.
+"""The driver with a placer, which places the requests of all entries.
 
-What an entry does when the placer is dark is what `entry.broker` does: it
-decides by itself, and tells what runs once the placer is back.
+As in `entry.broker`, entries place requests themselves while the placer is
+unreachable, and report their running requests when it returns.
 """
 
 import dataclasses
@@ -16,25 +16,25 @@
 
 __all__ = ["AskedDriver", "make"]
 
-ANSWER_S = 0.05
-"""Longest wait for an answer, as `peers.placing_client` has it."""
+ANSWER_TIMEOUT_S = 0.05
+"""Timeout of a question, the same as in `peers.placing_client`."""
 
 
 def make(scenario: scenarios.Scenario, seed: int) -> driver.Driver:
-    """Returns the driver that a scenario asks for."""
+    """Returns a driver with or without a placer, as the scenario says."""
     cls = AskedDriver if scenario.asked else driver.Driver
     return cls(scenario, seed)
 
 
 class AskedDriver(driver.Driver):
-    """One run of one scenario in which a placer is asked."""
+    """One run of one scenario with a placer."""
 
     def __init__(self, scenario: scenarios.Scenario, seed: int):
         super().__init__(scenario, seed)
         self._seed = seed
         self._placer: core.Dispatcher | None = self._new_placer()
-        self._at(scenario.placer_lost_from_s, self._lose_placer)
-        self._at(scenario.placer_lost_until_s, self._regain_placer)
+        self._at(scenario.placer_lost_from_s, self._stop_placer)
+        self._at(scenario.placer_lost_until_s, self._restart_placer)
         self._every(driver.TICK_S, self._tick_placer)
 
     def _new_placer(self) -> core.Dispatcher:
@@ -47,17 +47,20 @@
         )
         return core.Dispatcher(context, self._now_s)
 
-    def _lose_placer(self) -> None:
+    def _stop_placer(self) -> None:
         self._placer = None
         for flight in list(self._flights.values()):
-            self._at(self._now_s + ANSWER_S, lambda f=flight: self._here(f))
+            self._at(
+                self._now_s + ANSWER_TIMEOUT_S,
+                lambda f=flight: self._decide_at_entry(f),
+            )
 
-    def _here(self, flight: driver.Flight) -> None:
+    def _decide_at_entry(self, flight: driver.Flight) -> None:
         entry = self._entries[flight.entry]
         if entry.decide_here(flight.job.request_id, self._now_s):
-            self._pump(flight.entry)
+            self._place(flight.entry)
 
-    def _regain_placer(self) -> None:
+    def _restart_placer(self) -> None:
         self._placer = self._new_placer()
         for entry in self._entries:
             for running in entry.runs():
@@ -72,7 +75,7 @@
     def _tick_placer(self) -> None:
         if self._placer is not None:
             self._placer.refresh_shares(self._now_s)
-            self._pump_placer()
+            self._place_at_placer()
 
     # -- questions and answers -----------------------------------------------
 
@@ -82,52 +85,55 @@
             return entry.offer(flight.job, self._now_s)
         refusal = entry.announce(flight.job, self._now_s)
         if refusal is None:
-            self._ask(flight)
+            self._send_question(flight)
         return refusal
 
     def _retry(self, flight: driver.Flight, outcome: messages.Outcome) -> bool:
         entry = self._entries[flight.entry]
-        asks = self._placer is not None
-        again = entry.retry(flight.job, outcome, self._now_s, asks)
-        if again and entry.is_announced(flight.job.request_id):
-            self._ask(flight)
-        return again
+        has_placer = self._placer is not None
+        will_retry = entry.retry(flight.job, outcome, self._now_s, has_placer)
+        if will_retry and entry.is_announced(flight.job.request_id):
+            self._send_question(flight)
+        return will_retry
 
-    def _ask(self, flight: driver.Flight) -> None:
+    def _send_question(self, flight: driver.Flight) -> None:
         job = dataclasses.replace(flight.job)
         self._at(
-            self._now_s + driver.LINK_S, lambda: self._question(flight, job)
+            self._now_s + driver.LINK_S,
+            lambda: self._handle_question(flight, job),
         )
 
-    def _question(self, flight: driver.Flight, job: messages.Job) -> None:
+    def _handle_question(
+        self, flight: driver.Flight, job: messages.Job
+    ) -> None:
         if self._placer is None:
-            self._here(flight)
+            self._decide_at_entry(flight)
             return
         refusal = self._placer.offer(job, self._now_s)
         if refusal is not None:
             self._at(
                 self._now_s + driver.LINK_S,
-                lambda: self._refused_there(flight, refusal),
+                lambda: self._apply_remote_refusal(flight, refusal),
             )
-        self._pump_placer()
+        self._place_at_placer()
 
-    def _pump_placer(self) -> None:
+    def _place_at_placer(self) -> None:
         for decision in list(self._placer.place(self._now_s)):
             flight = self._flights.get(decision.request_id)
             if flight is None:
                 continue
             if isinstance(decision, messages.Placement):
-                answer = self._placed_there
+                answer = self._apply_remote_placement
             elif isinstance(decision, messages.Refusal):
-                answer = self._refused_there
+                answer = self._apply_remote_refusal
             else:
-                answer = self._yields_there
+                answer = self._apply_remote_preemption
             self._at(
                 self._now_s + driver.LINK_S,
                 lambda f=flight, d=decision, a=answer: a(f, d),
             )
 
-    def _placed_there(
+    def _apply_remote_placement(
         self, flight: driver.Flight, placement: messages.Placement
     ) -> None:
         entry = self._entries[flight.entry]
@@ -136,21 +142,21 @@
         ):
             self._placed(flight, placement)
         else:
-            self._here(flight)
+            self._decide_at_entry(flight)
 
-    def _refused_there(
+    def _apply_remote_refusal(
         self, flight: driver.Flight, refusal: messages.Refusal
     ) -> None:
         entry = self._entries[flight.entry]
         if entry.refused_elsewhere(flight.job.request_id):
             self._refused(flight, refusal)
 
-    def _yields_there(
+    def _apply_remote_preemption(
         self, flight: driver.Flight, preemption: messages.Preemption
     ) -> None:
         self._preempt(flight)
 
-    # -- what the placer is told ---------------------------------------------
+    # -- reports to the placer ------------------------------------------------
 
     def _first(self, flight: driver.Flight) -> None:
         super()._first(flight)
@@ -169,5 +175,5 @@
             runs = {run.job.request_id for run in self._placer.runs()}
             if flight.job.request_id in runs:
                 self._placer.finish(flight.job.request_id, outcome, self._now_s)
-                self._pump_placer()
+                self._place_at_placer()
         super()._end(flight, outcome)
--- a/benchmarks/bound.py
+++ b/benchmarks/bound.py
@@ -1,4 +1,4 @@
-"""What no order of serving could beat, as a fluid."""
+"""Upper bounds of a run's results, from a fluid model."""
 
 import collections
 
@@ -11,14 +11,14 @@
 
 
 def set_bounds(result: results.Result, scenario: scenarios.Scenario) -> None:
-    """Works out the best shares of a run from its load and its capacity.
+    """Computes upper bounds for a run from its load and its capacity.
 
-    A class can at most have the engine time that the higher ones leave, over
-    the run and its own target, at the price of a full batch. Beginnings that
-    requests share are reckoned as kept.
+    A class gets at most the engine time that higher classes leave, over the
+    length of the run plus its target, at the cost of a full batch. Shared
+    prompt prefixes count as cached.
 
     Args:
-        result: Gets the bounds; its `capacity_s` is used.
+        result: Receives the bounds; its `capacity_s` is read.
         scenario: The load.
     """
     document = scenario.document
@@ -30,10 +30,10 @@
             work.prompt_tokens - work.prefix_tokens, work.answer_tokens
         )
     used_s = 0.0
-    in_order = sorted(
+    by_rank = sorted(
         document.classes, key=lambda name: document.tier_of(name).rank
     )
-    for name in in_order:
+    for name in by_rank:
         target_s = document.classes[name].target_first_token_s
         left_s = result.capacity_s + target_s * rate - used_s
         share = left_s / max(cost_s[name], 1e-9)
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,9 +1,10 @@
-"""``python -m benchmarks.claims``: what the replicated log costs.
+"""``python -m benchmarks.claims``: cost of the replicated log.
 
-Claims a second and their delay at three one-way delays, which the proxy puts
-in between the control processes; the time until claims are taken again after
-the leader was killed; processor time of leader and follower per edit at three
-rates. Real processes on loopback; the figures of one run on a shared machine.
+Measures claims per second and their latency at three one-way delays, which
+the proxy adds between the control processes; the time from killing the leader
+to the next accepted claim; and the CPU time of leader and follower per edit at
+three rates. Runs real processes on loopback; the figures are from a single run
+on a shared machine.
 """
 
 import argparse
@@ -53,7 +54,7 @@
 def _leader(running: deployment.Deployment) -> str:
     found = ""
 
-    def looks() -> bool:
+    def has_leader() -> bool:
         nonlocal found
         for name in NAMES:
             if running.processes[name].poll() is not None:
@@ -67,8 +68,8 @@
                 return True
         return False
 
-    if not deployment.wait_until(looks):
-        raise RuntimeError("no leader")
+    if not deployment.wait_until(has_leader):
+        raise RuntimeError("the control processes elected no leader")
     return found
 
 
@@ -99,11 +100,11 @@
     )
 
 
-def _load(
+def _claim_in_parallel(
     ledger: ledger_client.RemoteLedger, clients: int, duration_s: float
 ) -> tuple[histogram.HdrHistogram, float, int]:
-    """Claims from many clients, each one after the other."""
-    seen = histogram.HdrHistogram(1, MAX_US, 3)
+    """Makes claims from many clients, each with one at a time."""
+    latencies = histogram.HdrHistogram(1, MAX_US, 3)
     failed = 0
     lock = threading.Lock()
     start_s = time.monotonic()
@@ -121,14 +122,14 @@
                     failed += 1
                 continue
             with lock:
-                seen.record_value(int((time.monotonic() - before_s) * 1e6))
+                latencies.record_value(int((time.monotonic() - before_s) * 1e6))
 
     with futures.ThreadPoolExecutor(clients) as pool:
         list(pool.map(run, range(clients)))
-    return seen, time.monotonic() - start_s, failed
+    return latencies, time.monotonic() - start_s, failed
 
 
-def _delays(
+def _measure_delays(
     running: deployment.Deployment,
     ledger: ledger_client.RemoteLedger,
     duration_s: float,
@@ -140,31 +141,34 @@
             link.delay_s = delay_s
         time.sleep(1.0)
         for clients in (1, 16):
-            seen, took_s, failed = _load(ledger, clients, duration_s)
+            latencies, took_s, failed = _claim_in_parallel(
+                ledger, clients, duration_s
+            )
             p50, p99 = (
-                seen.get_value_at_percentile(share) / 1e3 for share in (50, 99)
+                latencies.get_value_at_percentile(share) / 1e3
+                for share in (50, 99)
             )
-            rate = seen.total_count / took_s
-            note = f" ({failed} failed)" if failed else ""
+            rate = latencies.total_count / took_s
+            failures_text = f" ({failed} failed)" if failed else ""
             yield (
                 f"| {delay_s * 1e3:.0f} | {clients} | {rate:.0f} "
-                f"| {p50:.1f} | {p99:.1f}{note}"
+                f"| {p50:.1f} | {p99:.1f}{failures_text}"
             )
     for link in running.proxy.links.values():
         link.delay_s = 0.0
 
 
-def _fail_over(
+def _measure_failover(
     running: deployment.Deployment, ledger: ledger_client.RemoteLedger
 ) -> abc.Iterator[str]:
     times = []
-    for turn in range(3):
+    for trial in range(3):
         leader = _leader(running)
         running.processes[leader].kill()
         killed_s = time.monotonic()
         while True:
             try:
-                _claim(ledger, f"fail-over/{turn}/{time.monotonic()}")
+                _claim(ledger, f"fail-over/{trial}/{time.monotonic()}")
                 break
             except errors.UnavailableError:
                 continue
@@ -172,8 +176,8 @@
         running.start_instance(leader)
         running.wait_ready(leader)
         time.sleep(3)
-    listed = ", ".join(f"{seconds:.2f}" for seconds in times)
-    yield f"first claim after the leader was killed, s: {listed}"
+    times_text = ", ".join(f"{seconds:.2f}" for seconds in times)
+    yield f"first claim after the leader was killed, s: {times_text}"
 
 
 def _cpu_s(process) -> float:
@@ -182,7 +186,7 @@
     return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
 
 
-def _edit_costs(
+def _measure_edits(
     running: deployment.Deployment, duration_s: float
 ) -> abc.Iterator[str]:
     leader = _leader(running)
@@ -214,10 +218,10 @@
         )
     for column, name in ((1, "leader"), (2, "follower")):
         slope_s = _slope([(p[0], p[column]) for p in points])
-        extra = 100 * slope_s * EDITS_A_DAY / DAY_S
+        percent = 100 * slope_s * EDITS_A_DAY / DAY_S
         yield (
             f"{name}: {slope_s * 1e3:.2f} ms of CPU an edit; at "
-            f"{EDITS_A_DAY} edits a day {extra:.4f} % of a core above idle"
+            f"{EDITS_A_DAY} edits a day {percent:.4f} % of a core above idle"
         )
 
 
@@ -239,8 +243,8 @@
     """Returns the least-squares slope."""
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
-    above = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    return above / sum((x - mean_x) ** 2 for x, _ in points)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    return covariance / sum((x - mean_x) ** 2 for x, _ in points)
 
 
 def main() -> None:
@@ -256,11 +260,11 @@
             _leader(running)
             time.sleep(2)
             ledger = _ledger(running, loop)
-            for line in _delays(running, ledger, duration_s):
+            for line in _measure_delays(running, ledger, duration_s):
                 print(line, flush=True)
-            for line in _fail_over(running, ledger):
+            for line in _measure_failover(running, ledger):
                 print(line, flush=True)
-            for line in _edit_costs(running, duration_s * 2):
+            for line in _measure_edits(running, duration_s * 2):
                 print(line, flush=True)
     loop.stop()
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,9 +1,8 @@
-"""``python -m benchmarks.decision_cost``: processor time of one decision.
+"""``python -m benchmarks.decision_cost``: CPU time of one decision.
 
-One dispatcher is kept under overload in virtual time: for each request that
-ends two arrive, so that the queue is full and about half are refused. The
-processor time of everything that the dispatcher does is divided by the number
-of requests that arrived.
+One dispatcher runs under overload in virtual time: two requests arrive for
+each one that ends, so that the queue is full and about half are refused. The
+result is the dispatcher's CPU time divided by the number of arrivals.
 """
 
 import argparse
@@ -34,7 +33,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """Size of a deployment as one instance sees it."""
+    """Size of a deployment as one instance sees it.
+
+    Attributes:
+        endpoints: Endpoints in the instance's failure domain.
+        far_endpoints: Endpoints in another failure domain.
+    """
 
     endpoints: int = 58
     far_endpoints: int = 582
@@ -85,7 +89,7 @@
 
 
 class _Load:
-    """Feeds one dispatcher and adds up its processor time."""
+    """Drives one dispatcher and sums its CPU time."""
 
     def __init__(self, size: Size):
         self._size = size
@@ -103,8 +107,8 @@
         self.arrived = 0
         self.refused = 0
 
-    def peers(self) -> None:
-        """Gives the dispatcher its peers' demand."""
+    def update_peers(self) -> None:
+        """Updates the dispatcher with its peers' demand."""
         for number in range(1, self._size.instances):
             demand = {
                 ids.ServiceId(f"s{n}"): 5.0 for n in range(self._size.services)
@@ -115,18 +119,18 @@
             )
 
     def refresh(self) -> float:
-        """Returns the processor time of one look at the shares."""
-        self.peers()
+        """Returns the CPU time of one refresh of the shares, in seconds."""
+        self.update_peers()
         started_s = time.process_time()
         self._dispatcher.refresh_shares(self._now_s)
         return time.process_time() - started_s
 
     def run(self, requests: int) -> None:
-        """Serves some arrivals under overload."""
+        """Runs the overload until `requests` have arrived."""
         while self.arrived < requests:
             self._now_s += 0.005
             jobs = [self._job(), self._job()]
-            ended = self._take_ended()
+            ended = self._remove_ended()
             started_s = time.process_time()
             for name in ended:
                 self._dispatcher.finish(
@@ -137,7 +141,7 @@
                 self.refused += refusal is not None
             decisions = list(self._dispatcher.place(self._now_s))
             self.cpu_s += time.process_time() - started_s
-            self._note(decisions)
+            self._record(decisions)
 
     def _job(self) -> messages.Job:
         name, rank, first_s, total_s = self._rng.choice(CLASSES)
@@ -154,12 +158,12 @@
             self._now_s + total_s,
         )
 
-    def _take_ended(self) -> list[ids.RequestId]:
+    def _remove_ended(self) -> list[ids.RequestId]:
         if len(self._running) < 40:
             return []
         return [self._running.pop(self._rng.randrange(len(self._running)))]
 
-    def _note(self, decisions: list[messages.Decision]) -> None:
+    def _record(self, decisions: list[messages.Decision]) -> None:
         for decision in decisions:
             if isinstance(decision, messages.Placement):
                 self._running.append(decision.request_id)
@@ -169,7 +173,7 @@
 
 def _measure(size: Size, requests: int) -> str:
     load = _Load(size)
-    load.peers()
+    load.update_peers()
     load.run(requests // 4)
     load.cpu_s, load.arrived, load.refused = 0.0, 0, 0
     load.run(requests)
@@ -199,7 +203,7 @@
     ]
     print(
         "| endpoints | far | workspaces | instances | decision ms "
-        "| refused | look at the shares ms |"
+        "| refused | share refresh ms |"
     )
     print("|---" * 7 + "|")
     for size in sizes:
--- a/benchmarks/document_cost.py
+++ b/benchmarks/document_cost.py
@@ -1,4 +1,4 @@
-"""What a document of the target size costs: size, parsing, memory.
+"""Cost of a document of the target size: size, parsing, memory.
 
 ``python -m benchmarks.document_cost`` prints a row per number of workspaces;
 the target size is 3,800 workspaces, 640 endpoints, 21 models, 4 tiers.
@@ -29,13 +29,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What one document costs.
+    """Cost of one document.
 
     Attributes:
-        parse_s: CPU time to read the whole text.
-        edited_s: CPU time to read it again after one section changed.
-        memory_bytes: What the typed document holds.
-        changes_bytes: What is sent to an instance that is one edit behind.
+        parse_s: CPU time to parse the whole text.
+        edited_s: CPU time to parse it again after one section changed.
+        memory_bytes: Memory of the parsed document.
+        changes_bytes: Size of the update for an instance that is one edit
+            behind.
     """
 
     workspaces: int
@@ -47,7 +48,10 @@
 
 
 def document_of(workspaces: int) -> str:
-    """Returns a document with so many workspaces, and all else in step."""
+    """Returns a document with this many workspaces.
+
+    The number of endpoints grows in proportion.
+    """
     return "\n".join(_sections(workspaces)) + "\n"
 
 
@@ -91,10 +95,10 @@
         for number in range(1, ROUNDS + 1)
     ]
     edited_s = min(_cpu_s(item) for item in edited)
-    # Other names, so that no section was read before.
-    unread = text.replace("[workspace:", "[workspace:other-")
+    # Renamed sections, so that the parser has none of them cached.
+    uncached = text.replace("[workspace:", "[workspace:other-")
     tracemalloc.start()
-    document = parsing.parse(unread)
+    document = parsing.parse(uncached)
     memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     del document
--- a/benchmarks/driver.py
+++ b/benchmarks/driver.py
@@ -1,8 +1,9 @@
-"""Feeds the real dispatchers in virtual time: one failure domain.
+"""Simulates one failure domain with the real dispatchers in virtual time.
 
-An event heap moves time. Entries decide with `decisions.core.Dispatcher`,
-engines are `fake_engine.FakeEngine`, callers come back when they were told
-to. Nothing here decides anything.
+Time advances by an event heap. Entries decide with
+`decisions.core.Dispatcher`, engines are `fake_engine.FakeEngine`, and refused
+callers send again after the time in the refusal. The driver itself makes no
+placement decisions.
 """
 
 import collections
@@ -30,23 +31,23 @@
 REPORT_S = 1.0
 LINK_S = 0.001
 CALLER_TRIES = 4
-"""How often a caller sends a request that is refused with a time to return."""
+"""Most times a caller sends a request that is refused with a retry time."""
 
 CRASHER_TRIES = 8
-"""How often the caller of a crashing request sends it, whatever comes."""
+"""Most times a caller sends a crashing request, whatever the error."""
 
 RESEND_S = 2.0
-"""Time after which that caller sends again."""
+"""Time until the caller of a crashing request sends it again."""
 
 
 @dataclasses.dataclass
 class Flight:
-    """A request on its way through one entry.
+    """A request in progress at one entry.
 
     Attributes:
-        source: Engine that the present run's beginning is fetched from.
-        tokens: Tokens of the present run.
-        delivered: Whether the caller has received any of it.
+        source: Engine from which the current run fetches the prompt prefix.
+        tokens: Tokens that the current run has generated.
+        delivered: Whether the caller has received part of the answer.
     """
 
     job: messages.Job
@@ -91,43 +92,43 @@
 
     @property
     def entries(self) -> list[core.Dispatcher]:
-        """The dispatchers, to be looked at by tests."""
+        """The dispatchers; tests read their state."""
         return self._entries
 
     def run(self) -> results.Result:
-        """Runs to the end and returns what callers received."""
+        """Runs the scenario and returns the results by class."""
         scenario = self._scenario
         for work in scenario.works:
             self._at(work.arrival_s, lambda work=work: self._arrive(work))
         for entry in range(len(self._entries)):
             self._every(TICK_S, lambda entry=entry: self._tick(entry))
             self._every(GOSSIP_S, lambda entry=entry: self._gossip(entry))
-        self._gossip_all()
-        self._every(REPORT_S, self._reports)
+        self._exchange_initial_demand()
+        self._every(REPORT_S, self._send_load_reports)
         end_s = scenario.duration_s + scenario.drain_s
         while self._heap and self._heap[0][0] <= end_s:
             self._now_s, _, event = heapq.heappop(self._heap)
             event()
         for flight in list(self._flights.values()):
-            self._lose(flight)
-        return self._sum_up()
+            self._fail(flight)
+        return self._summarize()
 
-    def _at(self, when_s: float, event: abc.Callable[[], None]) -> None:
-        heapq.heappush(self._heap, (when_s, next(self._order), event))
+    def _at(self, event_s: float, event: abc.Callable[[], None]) -> None:
+        heapq.heappush(self._heap, (event_s, next(self._order), event))
 
     def _every(self, period_s: float, event: abc.Callable[[], None]) -> None:
-        def again() -> None:
+        def run_and_repeat() -> None:
             event()
-            self._at(self._now_s + period_s, again)
+            self._at(self._now_s + period_s, run_and_repeat)
 
-        self._at(self._rng.uniform(0, period_s), again)
+        self._at(self._rng.uniform(0, period_s), run_and_repeat)
 
     # -- callers -----------------------------------------------------------
 
     def _arrive(self, work: fake_engine.Work) -> None:
-        of_class = self._result.classes[work.class_id]
+        class_result = self._result.classes[work.class_id]
         if not work.tries:
-            of_class.offered += 1
+            class_result.offered += 1
         work.tries += 1
         weights = self._scenario.entry_weights
         entry = self._rng.choices(range(len(weights)), weights)[0]
@@ -138,7 +139,7 @@
         if refusal is not None:
             self._refused(flight, refusal)
             return
-        self._pump(entry)
+        self._place(entry)
 
     def _offer(self, flight: Flight) -> messages.Refusal | None:
         return self._entries[flight.entry].offer(flight.job, self._now_s)
@@ -168,23 +169,23 @@
         del self._flights[flight.job.request_id]
         self._result.classes[work.class_id].refusals += 1
         if refusal.retry_after_s is None or work.tries >= CALLER_TRIES:
-            self._failed(work)
+            self._record_wait(work)
             return
-        back_s = self._now_s + refusal.retry_after_s
-        self._at(back_s, lambda: self._arrive(work))
+        resend_s = self._now_s + refusal.retry_after_s
+        self._at(resend_s, lambda: self._arrive(work))
 
-    def _failed(self, work: fake_engine.Work) -> None:
-        of_class = self._result.classes[work.class_id]
+    def _record_wait(self, work: fake_engine.Work) -> None:
+        class_result = self._result.classes[work.class_id]
         waited_s = self._now_s - work.arrival_s
-        of_class.worst_wait_s = max(of_class.worst_wait_s, waited_s)
+        class_result.worst_wait_s = max(class_result.worst_wait_s, waited_s)
 
     # -- entries -----------------------------------------------------------
 
     def _tick(self, entry: int) -> None:
         self._entries[entry].refresh_shares(self._now_s)
-        self._pump(entry)
+        self._place(entry)
 
-    def _pump(self, entry: int) -> None:
+    def _place(self, entry: int) -> None:
         for decision in list(self._entries[entry].place(self._now_s)):
             flight = self._flights[decision.request_id]
             if isinstance(decision, messages.Placement):
@@ -210,22 +211,22 @@
             return
         if engine.failing(self._now_s):
             outcome = messages.Outcome.REFUSED_BY_ENDPOINT
-            when_s = self._now_s + engine.settings.fail_after_s
-            self._at(when_s, lambda: self._end(flight, outcome))
+            event_s = self._now_s + engine.settings.fail_after_s
+            self._at(event_s, lambda: self._end(flight, outcome))
             return
         source = self._engines.get(flight.source)
         if source is not None and source.down(self._now_s):
             source = None
         engine.add(flight.job, flight.work, source)
-        self._watch_limit(flight.endpoint)
+        self._record_over_limit(flight.endpoint)
         if not engine.stepping:
-            self._step(flight.endpoint)
+            self._begin_step(flight.endpoint)
 
-    def _watch_limit(self, endpoint: ids.EndpointId) -> None:
+    def _record_over_limit(self, endpoint: ids.EndpointId) -> None:
         service = self._scenario.document.services[SERVICE]
-        held = sum(f.endpoint == endpoint for f in self._flights.values())
-        over = held - service.slots_per_endpoint
-        self._result.most_over_limit = max(self._result.most_over_limit, over)
+        in_flight = sum(f.endpoint == endpoint for f in self._flights.values())
+        excess = in_flight - service.slots_per_endpoint
+        self._result.most_over_limit = max(self._result.most_over_limit, excess)
 
     def _preempt(self, flight: Flight) -> None:
         if flight.job.request_id not in self._flights or not flight.endpoint:
@@ -234,17 +235,17 @@
         self._end(flight, messages.Outcome.PREEMPTED)
 
     def _end(self, flight: Flight, outcome: messages.Outcome) -> None:
-        """Ends a run; a run that failed undelivered may be queued again."""
+        """Ends a run and retries it if it failed before any answer."""
         entry = self._entries[flight.entry]
         entry.finish(flight.job.request_id, outcome, self._now_s)
         flight.endpoint = None
         if outcome is messages.Outcome.DONE:
             self._done(flight)
         else:
-            self._waste(flight)
+            self._record_waste(flight)
             if flight.delivered or not self._retry(flight, outcome):
-                self._lose(flight)
-        self._pump(flight.entry)
+                self._fail(flight)
+        self._place(flight.entry)
 
     def _retry(self, flight: Flight, outcome: messages.Outcome) -> bool:
         entry = self._entries[flight.entry]
@@ -252,24 +253,24 @@
 
     def _done(self, flight: Flight) -> None:
         del self._flights[flight.job.request_id]
-        of_class = self._result.classes[flight.work.class_id]
-        of_class.completed += 1
-        of_class.windows[int(self._now_s / results.WINDOW_S)] += 1
+        class_result = self._result.classes[flight.work.class_id]
+        class_result.completed += 1
+        class_result.windows[int(self._now_s / results.WINDOW_S)] += 1
         if getattr(flight.work, "in_time", False):
-            of_class.attained += 1
+            class_result.attained += 1
         if self._now_s <= self._scenario.duration_s:
             self._result.useful_s += self._cost_s(flight)
 
-    def _lose(self, flight: Flight) -> None:
+    def _fail(self, flight: Flight) -> None:
         del self._flights[flight.job.request_id]
-        self._failed(flight.work)
+        self._record_wait(flight.work)
         if flight.work.crashes and flight.work.tries < CRASHER_TRIES:
             work = flight.work
             self._at(self._now_s + RESEND_S, lambda: self._arrive(work))
         if self._result.crashes and not flight.work.crashes:
             self._result.innocents_lost += 1
 
-    def _waste(self, flight: Flight) -> None:
+    def _record_waste(self, flight: Flight) -> None:
         if flight.tokens:
             self._result.wasted_s += self._cost_s(flight)
 
@@ -280,7 +281,7 @@
 
     # -- engines -----------------------------------------------------------
 
-    def _step(self, endpoint: ids.EndpointId) -> None:
+    def _begin_step(self, endpoint: ids.EndpointId) -> None:
         engine = self._engines[endpoint]
         length_s = engine.begin_step(self._now_s)
         engine.stepping = length_s is not None
@@ -289,9 +290,9 @@
         if engine.crashing():
             self._at(self._now_s + length_s, lambda: self._crash(endpoint))
             return
-        self._at(self._now_s + length_s, lambda: self._stepped(endpoint))
+        self._at(self._now_s + length_s, lambda: self._end_step(endpoint))
 
-    def _stepped(self, endpoint: ids.EndpointId) -> None:
+    def _end_step(self, endpoint: ids.EndpointId) -> None:
         result = self._engines[endpoint].end_step()
         for request_id in result.first:
             if request_id in self._flights:
@@ -301,15 +302,15 @@
         for request_id in result.finished:
             if request_id in self._flights:
                 self._end(self._flights[request_id], messages.Outcome.DONE)
-        self._step(endpoint)
+        self._begin_step(endpoint)
 
     def _first(self, flight: Flight) -> None:
         work = flight.work
         entry = self._entries[flight.entry]
         entry.first_token(flight.job.request_id, self._now_s)
-        of_class = self._result.classes[work.class_id]
+        class_result = self._result.classes[work.class_id]
         waited_s = self._now_s - work.arrival_s
-        of_class.worst_wait_s = max(of_class.worst_wait_s, waited_s)
+        class_result.worst_wait_s = max(class_result.worst_wait_s, waited_s)
         flight.delivered = True
         work.in_time = waited_s <= flight.job.target_first_token_s
 
@@ -335,15 +336,15 @@
             flight = self._flights.get(request_id)
             if flight is not None:
                 by_entry[flight.entry].append(flight)
-        for entry, lost in by_entry.items():
-            suspects = [flight.job for flight in lost]
+        for entry, crashed_flights in by_entry.items():
+            suspects = [flight.job for flight in crashed_flights]
             self._entries[entry].crashed(endpoint, suspects, self._now_s)
-            for flight in lost:
+            for flight in crashed_flights:
                 self._end(flight, messages.Outcome.CRASHED)
 
-    # -- what entries hear ---------------------------------------------------
+    # -- load reports and gossip ----------------------------------------------
 
-    def _reports(self) -> None:
+    def _send_load_reports(self) -> None:
         for endpoint, engine in self._engines.items():
             engine.observe(self._now_s)
             if not engine.down(self._now_s):
@@ -351,7 +352,7 @@
                 for entry in self._entries:
                     entry.report(endpoint, report)
 
-    def _gossip_all(self) -> None:
+    def _exchange_initial_demand(self) -> None:
         for entry in range(len(self._entries)):
             for other in self._entries:
                 if other is not self._entries[entry]:
@@ -363,29 +364,31 @@
             return
         demand = self._entries[entry].demand(self._now_s)
         marks = self._entries[entry].quarantine_marks(self._now_s)
-        news = self._entries[entry].take_cache_announcements(self._now_s)
+        announcements = self._entries[entry].take_cache_announcements(
+            self._now_s
+        )
         self._at(
             self._now_s + scenario.gossip_delay_s,
-            lambda: self._heard(entry, demand, marks, news),
+            lambda: self._receive_gossip(entry, demand, marks, announcements),
         )
 
-    def _heard(
+    def _receive_gossip(
         self,
         entry: int,
         demand: messages.PeerDemand,
         marks: dict[ids.Fingerprint, float],
-        news: list[messages.KeptNews],
+        announcements: list[messages.KeptNews],
     ) -> None:
         demand = dataclasses.replace(demand, seen_at_s=self._now_s)
         for number, other in enumerate(self._entries):
             if number != entry:
                 other.update_peer(demand)
                 other.merge_quarantine(marks, self._now_s)
-                other.merge_cache_announcements(news, self._now_s)
+                other.merge_cache_announcements(announcements, self._now_s)
 
-    # -- summing up ----------------------------------------------------------
+    # -- results ------------------------------------------------------------
 
-    def _sum_up(self) -> results.Result:
+    def _summarize(self) -> results.Result:
         result = self._result
         result.capacity_s = sum(
             self._scenario.duration_s / max(engine.settings.slowdown, 1.0)
@@ -393,23 +396,23 @@
             else self._scenario.duration_s
             for engine in self._engines.values()
         )
-        read = sum(e.prompt_tokens_read for e in self._engines.values())
+        total = sum(e.prompt_tokens_read for e in self._engines.values())
         cached = sum(e.prompt_tokens_cached for e in self._engines.values())
         fetched = sum(e.prompt_tokens_fetched for e in self._engines.values())
-        result.cached_share = cached / max(read, 1)
-        result.fetched_share = fetched / max(read, 1)
-        result.innocents_quarantined = len(self._marked_innocents())
+        result.cached_share = cached / max(total, 1)
+        result.fetched_share = fetched / max(total, 1)
+        result.innocents_quarantined = len(self._quarantined_harmless())
         bound.set_bounds(result, self._scenario)
         return result
 
-    def _marked_innocents(self) -> set[ids.Fingerprint]:
+    def _quarantined_harmless(self) -> set[ids.Fingerprint]:
         crashing = {
             _fingerprint(work) for work in self._scenario.works if work.crashes
         }
-        marked = [
+        quarantined = [
             entry.quarantine_marks(self._now_s) for entry in self._entries
         ]
-        return set().union(*marked) - crashing
+        return set().union(*quarantined) - crashing
 
 
 def _fingerprint(work: fake_engine.Work) -> ids.Fingerprint:
--- a/benchmarks/fake_engine.py
+++ b/benchmarks/fake_engine.py
@@ -1,8 +1,8 @@
-"""A model engine in virtual time, with continuous batching.
+"""A simulated engine in virtual time, with continuous batching.
 
-One step gives each decoding request one token. It takes longer the more
-requests are in the batch and the more prompt tokens are read in it, so the
-rate per request falls as the batch grows while the rate of the whole rises.
+One step generates one token for each decoding request. Its length grows with
+the batch and with the prompt tokens prefilled in it, so that a larger batch
+lowers the token rate per request and raises the total rate.
 """
 
 import collections
@@ -18,25 +18,26 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineSettings:
-    """How an engine performs and misbehaves.
+    """Performance and faults of an engine.
 
     Attributes:
         base_step_s: Part of a step that does not depend on the batch.
         step_s_per_sequence: Part of a step per request in the batch.
-        prefill_s_per_token: Time to read one prompt token.
-        prefill_chunk_tokens: Most prompt tokens read in one step.
-        batch: Most requests in the batch; more wait inside by priority.
+        prefill_s_per_token: Time to prefill one prompt token.
+        prefill_chunk_tokens: Most prompt tokens prefilled in one step.
+        batch: Most requests in the batch; others wait in the engine, by rank.
         cache_tokens: Size of the prefix cache.
-        fetch_share: Time to take a token from another engine, as a part of
-            the time to read it.
-        report_lag_s: Age of what a load report says.
-        knee: Requests that fit into its memory.
-        over_knee_step_s: Part of a step per request beyond `knee`, for what
-            is evicted and computed again.
-        slow_from_s: From this moment all takes `slowdown` times as long.
-        fail_from_s: From this moment every request fails within
-            `fail_after_s`, until `fail_until_s`.
-        restart_s: Time from a crash until it serves again.
+        fetch_share: Time to fetch a token's cache from another engine, as a
+            part of the time to prefill it.
+        report_lag_s: Age of the load in a load report.
+        knee: Most running requests that fit into the engine's memory.
+        over_knee_step_s: Part of a step per request beyond `knee`, for
+            evicting and recomputing its cache.
+        slow_from_s: Start of the time in which steps take `slowdown` times
+            as long; it ends at `slow_until_s`.
+        fail_from_s: Start of the time in which every request fails after
+            `fail_after_s`; it ends at `fail_until_s`.
+        restart_s: Time from a crash until the engine serves again.
     """
 
     base_step_s: float = 0.012
@@ -67,14 +68,15 @@
 
 @dataclasses.dataclass
 class Work:
-    """A caller's request with what no router can know beforehand.
+    """A caller's request, with properties that a router cannot know.
 
     Attributes:
-        answer_tokens: How long the answer will be.
-        prefix_tokens: Leading part of the prompt that `prefix_key` names.
-        parts: The prompt's parts by name and length, where they are told; the
-            last one is the request's own.
-        crashes: The engine that begins it dies.
+        answer_tokens: Length of the answer.
+        prefix_tokens: Length of the prompt prefix that `prefix_key` names.
+        parts: Names and lengths of the prompt's parts, if the caller sends
+            them; the last one belongs to this request alone.
+        crashes: Whether an engine that runs the request crashes.
+        tries: How often the caller has sent the request.
     """
 
     class_id: ids.ClassId
@@ -90,7 +92,7 @@
 
     @property
     def shared(self) -> tuple[tuple[str, int], ...]:
-        """The parts that other requests may share."""
+        """The parts that other requests may also contain."""
         if self.parts:
             return self.parts[:-1]
         if not self.prefix_tokens:
@@ -109,7 +111,7 @@
 
 @dataclasses.dataclass
 class StepResult:
-    """What one step brought."""
+    """First tokens, progress and finished requests of one step."""
 
     first: list[ids.RequestId] = dataclasses.field(default_factory=list)
     progress: list[tuple[ids.RequestId, int]] = dataclasses.field(
@@ -119,7 +121,7 @@
 
 
 class FakeEngine:
-    """One engine."""
+    """One simulated engine."""
 
     def __init__(self, settings: EngineSettings):
         self.settings = settings
@@ -135,17 +137,17 @@
         self._cache: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._reading: dict[ids.RequestId, int] = {}
+        self._prefilling: dict[ids.RequestId, int] = {}
         self._history: collections.deque[tuple[float, int, int]] = (
             collections.deque(maxlen=400)
         )
 
     def down(self, now_s: float) -> bool:
-        """Tells whether nobody can connect."""
+        """Returns whether the engine refuses connections."""
         return now_s < self.down_until_s
 
     def failing(self, now_s: float) -> bool:
-        """Tells whether every request fails at once."""
+        """Returns whether every request fails after `fail_after_s`."""
         settings = self.settings
         return settings.fail_from_s <= now_s < settings.fail_until_s
 
@@ -155,18 +157,18 @@
         work: Work,
         source: "FakeEngine | None" = None,
     ) -> None:
-        """Takes a request; `source` may keep what this engine does not."""
+        """Queues a request; `source` is an engine to fetch its prefix from."""
         sequence = _Sequence(job, work, work.prompt_tokens, source)
         heapq.heappush(self._waiting, (job.rank, next(self._order), sequence))
 
     def cancel(self, request_id: ids.RequestId) -> None:
-        """Drops a request; its place is free at the next step."""
+        """Drops a request; its place is free from the next step on."""
         if self._batch.pop(request_id, None) is None:
             self._cancelled.add(request_id)
 
     def crash(self, now_s: float) -> list[ids.RequestId]:
-        """Dies; returns the requests that die with it."""
-        lost = [
+        """Crashes the engine and returns the requests that it held."""
+        crashed = [
             *self._batch,
             *(
                 item[2].job.request_id
@@ -177,9 +179,9 @@
         self._batch.clear()
         self._waiting.clear()
         self._cache.clear()
-        self._reading.clear()
+        self._prefilling.clear()
         self.down_until_s = now_s + self.settings.restart_s
-        return lost
+        return crashed
 
     def begin_step(self, now_s: float) -> float | None:
         """Starts a step; returns its length in seconds, None if idle."""
@@ -187,17 +189,17 @@
         if not self._batch:
             return None
         settings = self.settings
-        left = settings.prefill_chunk_tokens
-        self._reading.clear()
+        chunk_left = settings.prefill_chunk_tokens
+        self._prefilling.clear()
         for request_id, sequence in self._batch.items():
-            if sequence.prefill_left and left:
-                part = min(left, sequence.prefill_left)
-                self._reading[request_id] = part
-                left -= part
+            if sequence.prefill_left and chunk_left:
+                chunk = min(chunk_left, sequence.prefill_left)
+                self._prefilling[request_id] = chunk
+                chunk_left -= chunk
         length_s = (
             settings.base_step_s
             + settings.step_s_per_sequence * len(self._batch)
-            + settings.prefill_s_per_token * sum(self._reading.values())
+            + settings.prefill_s_per_token * sum(self._prefilling.values())
             + settings.over_knee_step_s
             * max(0, len(self._batch) - settings.knee)
         )
@@ -216,20 +218,22 @@
             self._batch[request_id] = sequence
 
     def _begin(self, sequence: _Sequence) -> None:
-        """Works out what of a prompt is kept, fetched and still to be read."""
+        """Splits a prompt into cached, fetched and remaining tokens."""
         work = sequence.work
-        kept = self._kept_tokens(work)
+        cached = self._cached_prefix_tokens(work)
         fetched = 0
         if sequence.source is not None:
-            fetched = max(sequence.source._kept_tokens(work) - kept, 0)
+            fetched = max(
+                sequence.source._cached_prefix_tokens(work) - cached, 0
+            )
         self.prompt_tokens_read += work.prompt_tokens
-        self.prompt_tokens_cached += kept
+        self.prompt_tokens_cached += cached
         self.prompt_tokens_fetched += fetched
-        unread = work.prompt_tokens - kept - fetched
+        remaining = work.prompt_tokens - cached - fetched
         transfer = round(fetched * self.settings.fetch_share)
-        sequence.prefill_left = max(unread + transfer, 1)
+        sequence.prefill_left = max(remaining + transfer, 1)
 
-    def _kept_tokens(self, work: Work) -> int:
+    def _cached_prefix_tokens(self, work: Work) -> int:
         """Returns the leading tokens of a prompt that are in the cache."""
         tokens = 0
         for name, length in work.shared:
@@ -240,18 +244,18 @@
         return tokens
 
     def crashing(self) -> bool:
-        """Tells whether a request in the batch kills the engine."""
+        """Returns whether a request in the batch crashes the engine."""
         return any(s.work.crashes for s in self._batch.values())
 
     def end_step(self) -> StepResult:
-        """Ends the step that was begun."""
+        """Ends the current step."""
         result = StepResult()
         for request_id, sequence in list(self._batch.items()):
             if sequence.prefill_left:
-                sequence.prefill_left -= self._reading.get(request_id, 0)
+                sequence.prefill_left -= self._prefilling.get(request_id, 0)
                 if sequence.prefill_left:
                     continue
-                self._keep_prefix(sequence.work)
+                self._cache_prefix(sequence.work)
                 result.first.append(request_id)
             sequence.tokens += 1
             result.progress.append((request_id, sequence.tokens))
@@ -260,7 +264,7 @@
                 del self._batch[request_id]
         return result
 
-    def _keep_prefix(self, work: Work) -> None:
+    def _cache_prefix(self, work: Work) -> None:
         for name, length in work.shared:
             self._cache[name] = length
             self._cache.move_to_end(name)
@@ -268,13 +272,13 @@
             self._cache.popitem(last=False)
 
     def observe(self, now_s: float) -> None:
-        """Keeps the load of this moment for later reports."""
+        """Records the current load for later reports."""
         self._history.append((now_s, len(self._batch), len(self._waiting)))
 
     def report(self, now_s: float) -> messages.LoadReport:
-        """Returns the load as it was `report_lag_s` ago."""
-        seen_s = now_s - self.settings.report_lag_s
-        old = [item for item in self._history if item[0] <= seen_s]
-        _, running, waiting = (old or [(0.0, 0, 0)])[-1]
+        """Returns the load of `report_lag_s` ago."""
+        load_at_s = now_s - self.settings.report_lag_s
+        history = [item for item in self._history if item[0] <= load_at_s]
+        _, running, waiting = (history or [(0.0, 0, 0)])[-1]
         used = running / self.settings.batch
         return messages.LoadReport(running, waiting, used, False, now_s)
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,12 +1,13 @@
-"""What gossip costs a node: CPU, memory and bytes, with slopes.
+"""Cost of gossip per node: CPU, memory and bytes.
 
-``python -m benchmarks.gossip`` runs one failure domain after another, each in
-a process of its own that holds all its nodes: the real table, codec, streams
-and authentication over loopback, with made-up demand and load reports.
+``python -m benchmarks.gossip`` runs one failure domain after another. Each
+runs in a separate process with all of its nodes: the real table, codec,
+streams and authentication over loopback, with synthetic demand and load
+reports.
 
-The load is that of the target size: 7,600 requests a second over 400 nodes,
-so that each second 19 requests begin and 19 end at a node; each endpoint's
-report is polled by two nodes a second.
+The load is that of the target size: 7,600 requests per second over 400 nodes,
+so that 19 requests begin and 19 end at a node each second. Two nodes poll each
+endpoint's load report every second.
 """
 
 import argparse
@@ -42,18 +43,18 @@
 CHANGES_A_SECOND = 38
 SERVICES = ("report-writer", "trail-desk")
 FRAME_BYTES = 14
-"""Headers of gRPC and HTTP/2 around one message; TCP's are not counted."""
+"""Size of the gRPC and HTTP/2 headers of a message, without TCP's."""
 
 BUDGET = {"cpu_share": 0.022, "memory_mb": 64.0, "bytes_per_s": 26_000.0}
 
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What one node costs.
+    """Cost of one node.
 
     Attributes:
-        received_bytes_per_s: As much is sent, on average.
-        oldest_row_s: Age of the oldest row that any node held at the end.
+        received_bytes_per_s: On average this equals the sent bytes.
+        oldest_row_s: Age of the oldest row in any node's table at the end.
     """
 
     members: int
@@ -66,7 +67,7 @@
 
 
 class _CountingNode(gossip_node.GossipNode):
-    """A node that counts what it receives."""
+    """A node that counts received messages and bytes."""
 
     received_bytes = 0
     received = 0
@@ -78,7 +79,7 @@
 
 
 class _Load:
-    """Made-up items of one node's row."""
+    """Synthetic items of one node's row."""
 
     def __init__(
         self,
@@ -96,11 +97,11 @@
         self._in_flight = [0] * len(endpoints)
 
     def collect(self, now_s: float) -> dict[rows.Key, rows.Value]:
-        """Returns the row's items, some of them changed."""
+        """Returns the row's items after some random changes."""
         rng = self._rng
         for _ in range(CHANGES_A_SECOND if self._in_flight else 0):
-            place = rng.randrange(len(self._in_flight))
-            self._in_flight[place] = rng.randrange(8)
+            position = rng.randrange(len(self._in_flight))
+            self._in_flight[position] = rng.randrange(8)
         items: dict[rows.Key, rows.Value] = {
             (rows.ItemKind.DEMAND, service): rng.randrange(50)
             for service in SERVICES
@@ -168,9 +169,9 @@
     """Runs one domain in this process.
 
     Raises:
-        RuntimeError: The nodes did not all hear of each other.
+        RuntimeError: Some node's table lacks a member.
     """
-    before_mb = _memory_mb()
+    initial_mb = _memory_mb()
     nodes = _start(members, endpoint_count)
     time.sleep(WARM_UP_S)
     for node in nodes:
@@ -179,13 +180,13 @@
     time.sleep(MEASURED_S)
     cpu_s = time.process_time() - start_cpu_s
     if any(len(node.table.live()) != members for node in nodes):
-        raise RuntimeError("not all nodes know each other")
+        raise RuntimeError("the table of some node lacks a live member")
     per_node_s = members * MEASURED_S
     return Cost(
         members,
         endpoint_count,
         cpu_s / per_node_s,
-        (_memory_mb() - before_mb) / members,
+        (_memory_mb() - initial_mb) / members,
         sum(node.received_bytes for node in nodes) / per_node_s,
         sum(node.received for node in nodes) / per_node_s,
         max(_oldest_row_s(node) for node in nodes),
@@ -197,7 +198,7 @@
     return max(now_s - row.refreshed_s for row in node.table.live())
 
 
-def _run_apart(members: int, endpoint_count: int) -> Cost:
+def _run_in_subprocess(members: int, endpoint_count: int) -> Cost:
     command = [sys.executable, "-m", "benchmarks.gossip", "--one"]
     result = subprocess.run(
         [*command, str(members), str(endpoint_count)],
@@ -220,7 +221,7 @@
     print("per node and second; bytes sent are as many as received")
     print(" members endpoints  cpu_% memory_MB bytes_in messages oldest_row_s")
     for members, endpoint_count in RUNS:
-        cost = _run_apart(members, endpoint_count)
+        cost = _run_in_subprocess(members, endpoint_count)
         print(
             f"{members:8} {endpoint_count:9} {cost.cpu_share * 100:6.2f} "
             f"{cost.memory_mb:9.2f} {cost.received_bytes_per_s:8.0f} "
--- a/benchmarks/idle_node.py
+++ b/benchmarks/idle_node.py
@@ -1,10 +1,10 @@
-"""What an idle entry costs: control, gossip and load reports together.
+"""Cost of an idle entry: control, gossip and load reports together.
 
-``python -m benchmarks.idle_node`` prints a row per number of entries of one
-failure domain and per size of the document. Endpoints are ports on which
-nothing listens: a poll of one costs a refused connection, less than a read
-report does. Each endpoint of the domain is polled by two entries a second.
-Intervals are the defaults.
+``python -m benchmarks.idle_node`` prints a row per number of entries in one
+failure domain and size of the document. Endpoints are ports without a
+listener: polling one costs a refused connection, which is cheaper than reading
+a report. Two entries poll each endpoint of the domain every second. Intervals
+are the defaults.
 """
 
 import dataclasses
@@ -23,12 +23,12 @@
 SIZES = ((8, 475), (8, 1_900), (8, 3_800), (4, 3_800), (12, 3_800))
 DOMAIN = "domain-0"
 FIRST_PORT = 1
-"""Ports under 1024 on loopback; nothing of ours listens there."""
+"""Ports below 1024 on loopback, where the benchmark starts no listener."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """One row of the table, the median entry."""
+    """One row of the table; entry figures are of the median entry."""
 
     entries: int
     workspaces: int
@@ -39,7 +39,7 @@
 
 
 def _document(workspaces: int) -> str:
-    """Returns the target's document with its endpoints on loopback."""
+    """Returns the target document with all endpoints on loopback."""
     text = document_cost.document_of(workspaces)
     lines = []
     port = FIRST_PORT
--- a/benchmarks/in_force.py
+++ b/benchmarks/in_force.py
@@ -1,8 +1,8 @@
-"""How long an accepted edit takes to be in force at every entry.
+"""Time from the acceptance of an edit until it is in force at all entries.
 
 ``python -m benchmarks.in_force`` starts real processes, edits the document and
 reads from each entry's log when the revision came into force, for several
-numbers of entries. The time starts when the operator has the answer.
+numbers of entries. The time starts when the operator receives the answer.
 """
 
 import argparse
@@ -41,14 +41,17 @@
 
 
 def _in_force_at(running: deployment.Deployment, name: str) -> dict[int, float]:
-    """Returns when each revision came into force, by the entry's log."""
-    found = {}
+    """Returns the Unix time at which each revision came into force.
+
+    The times are those of the entry's log lines.
+    """
+    times_unix_s = {}
     for line in running.log(name).splitlines():
         if "document in force" in line:
             record = json.loads(line)
-            moment = datetime.datetime.fromisoformat(record["time"])
-            found[record["revision"]] = moment.timestamp()
-    return found
+            logged_at = datetime.datetime.fromisoformat(record["time"])
+            times_unix_s[record["revision"]] = logged_at.timestamp()
+    return times_unix_s
 
 
 def _edit(running: deployment.Deployment, share: float) -> tuple[int, float]:
@@ -60,12 +63,14 @@
         ),
         TIMEOUT_S,
     ):
-        raise RuntimeError(f"revision {revision} is not in force everywhere")
+        raise RuntimeError(
+            f"revision {revision} is not in force at all entries"
+        )
     return revision, accepted_unix_s
 
 
 def measure(entries: int, controls: int) -> list[float]:
-    """Returns the time to the last entry, for each edit."""
+    """Returns each edit's time until it is in force at the last entry."""
     with (
         tempfile.TemporaryDirectory() as folder,
         deployment.Deployment(
@@ -75,7 +80,8 @@
         edits = [_edit(running, 0.1 + n / 100) for n in range(EDITS)]
         times = [_in_force_at(running, name) for name in running.entries]
         return [
-            max(at[revision] for at in times) - accepted_unix_s
+            max(in_force_at[revision] for in_force_at in times)
+            - accepted_unix_s
             for revision, accepted_unix_s in edits
         ]
 
--- a/benchmarks/ledger_size.py
+++ b/benchmarks/ledger_size.py
@@ -1,4 +1,4 @@
-"""What the ledger holds at its bounds: memory and snapshot.
+"""Memory and snapshot size of a full ledger.
 
 ``python -m benchmarks.ledger_size`` fills ledgers of several sizes.
 """
--- a/benchmarks/many_entries.py
+++ b/benchmarks/many_entries.py
@@ -1,8 +1,9 @@
-"""Load patterns of one domain with many entries before few engines.
+"""Load patterns of one domain with many entries and few engines.
 
-Each entry sends to one engine once in some ten seconds, so that what it knows
-by its own requests is mostly nothing. Prompts share long beginnings and differ
-in length by a multiple; an engine reads one after the other.
+An entry sends a request to the same engine about once in ten seconds, so that
+its own requests tell it almost nothing about an engine's load. Prompts share
+long prefixes and differ in length by a multiple; an engine prefills one after
+the other.
 """
 
 from collections import abc
@@ -25,7 +26,7 @@
 DURATION_S = 40.0
 BURST_S = (10.0, 18.0)
 RATE_PER_S = 26.4
-BEGINNINGS = 30
+SHARED_PREFIXES = 30
 WORKSPACES = 10
 
 DIGEST = ids.ClassId("digest")
@@ -50,8 +51,8 @@
     """One kind of request.
 
     Attributes:
-        weight: Its part of all arrivals.
-        shared_tokens: Mean length of the beginning.
+        weight: Relative rate of arrivals.
+        shared_tokens: Mean length of the shared prefix.
         own_tokens: Mean length of the rest of the prompt.
     """
 
@@ -142,20 +143,20 @@
         if now_s >= DURATION_S:
             return
         kind = rng.choices(KINDS, [each.weight for each in KINDS])[0]
-        group = int(rng.paretovariate(1.0)) % BEGINNINGS
+        group = int(rng.paretovariate(1.0)) % SHARED_PREFIXES
         shared = round(kind.shared_tokens * (0.5 + group * 7 % 10 / 10))
         own = max(round(kind.own_tokens * rng.lognormvariate(-0.5, 1.0)), 50)
         answer = kind.answer_tokens * rng.lognormvariate(-0.18, 0.6)
-        beginning = f"{kind.class_id}-{group}"
+        prefix = f"{kind.class_id}-{group}"
         yield fake_engine.Work(
             class_id=kind.class_id,
             workspace=ids.WorkspaceId(f"w{rng.randrange(WORKSPACES)}"),
             arrival_s=now_s,
             prompt_tokens=shared + own,
             answer_tokens=max(math.ceil(answer), 3),
-            prefix_key=beginning,
+            prefix_key=prefix,
             prefix_tokens=shared,
-            parts=((beginning, shared), (f"own-{number}", own)),
+            parts=((prefix, shared), (f"own-{number}", own)),
         )
         number += 1
 
@@ -165,16 +166,16 @@
     load: float,
     burst: float,
     entries: int = ENTRIES,
-    **more: object,
+    **fields: object,
 ) -> scenarios.Scenario:
-    """Returns the scenario.
+    """Returns a scenario with a burst.
 
     Args:
-        rng: Where requests come from.
-        load: Times the usual rate.
-        burst: Times that within `BURST_S`.
-        entries: Instances before the engines.
-        more: Further fields of the scenario.
+        rng: Generates the requests.
+        load: Factor of the usual arrival rate.
+        burst: Further factor during `BURST_S`.
+        entries: Number of entries.
+        fields: Further fields of the scenario.
     """
     return scenarios.Scenario(
         _document(),
@@ -184,13 +185,13 @@
         entry_weights=(1.0,) * entries,
         gossip_delay_s=1.5,
         drain_s=15.0,
-        **more,
+        **fields,
     )
 
 
-def _pattern(name: str, **more: object) -> patterns.Pattern:
+def _pattern(name: str, **fields: object) -> patterns.Pattern:
     def build(rng, policies):
-        return scenario(rng, 1.0, 4.0, **more)
+        return scenario(rng, 1.0, 4.0, **fields)
 
     return patterns.Pattern(name, (), build)
 
--- a/benchmarks/patterns.py
+++ b/benchmarks/patterns.py
@@ -1,4 +1,4 @@
-"""The load patterns: each a scenario made from a seed."""
+"""The load patterns; each builds a scenario from a random generator."""
 
 from collections import abc
 import dataclasses
@@ -24,16 +24,18 @@
 
 TOKEN_BYTES = 35_136
 LINK_MBIT_PER_S = 100_000.0
-"""What an engine sends for a token, and how fast: 3 us, where reading a token
-takes an engine of these patterns 100 us."""
+"""Size of a token's cache entry and rate of the link between engines.
+
+Fetching a token takes 3 us, prefilling it 100 us.
+"""
 
 
 @dataclasses.dataclass(frozen=True)
 class _Shape:
-    """What requests of a class look like.
+    """Rate and size of the requests of a class.
 
     Attributes:
-        rate_per_s: Arrivals at a load of one, all entries together.
+        rate_per_s: Arrivals at a load of one, over all entries.
         spread: Sigma of the lognormal length of an answer.
     """
 
@@ -48,7 +50,7 @@
     DESK: _Shape(2.0, 1_500, 150, 0.6),
     LETTER: _Shape(1.0, 800, 500, 0.7),
 }
-"""At a load of one these take about 0.8 of the four engines."""
+"""At a load of one these use about 0.8 of the four engines' time."""
 
 
 Build = abc.Callable[[random.Random, schema.Policies], scenarios.Scenario]
@@ -156,7 +158,7 @@
     """A load pattern.
 
     Attributes:
-        slots: The decisions that are meant to answer it.
+        slots: Policy slots that are compared with their baselines.
     """
 
     name: str
@@ -178,13 +180,13 @@
 
 def _hot_workspace(rng, policies):
     works = _mixed(rng, 0.4, 0.4, 0.4)
-    hot = [
+    hot_works = [
         *_arrivals(rng, CHAT, 2.5, 10.0, 40.0),
         *_arrivals(rng, DESK, 2.5, 10.0, 40.0),
     ]
-    for work in hot:
+    for work in hot_works:
         work.workspace = ids.WorkspaceId("w0")
-    return _scenario(policies, works + hot)
+    return _scenario(policies, works + hot_works)
 
 
 def _hot_prefix(rng, policies):
@@ -199,7 +201,7 @@
 
 
 def _many_prefixes(rng, policies):
-    """Twelve shared prompts, as many as the four caches hold together."""
+    """Twelve shared prefixes, as many as the four caches hold together."""
     works = _mixed(rng, 0.6, 1.0, 0.5)
     for work in works:
         if work.class_id == DESK:
@@ -209,10 +211,14 @@
     return _scenario(policies, works)
 
 
-def _beginnings(*, fetched: bool, lost: bool = False) -> Build:
-    """Bursts of requests that share eight beginnings, told as parts.
+def _shared_prefixes(*, can_fetch: bool, engine_fails: bool = False) -> Build:
+    """Bursts of requests with eight shared prefixes, sent as prompt parts.
+
+    One engine's cache holds three of them, all caches together all eight.
 
-    The caches of all engines hold them together, one engine three of them.
+    Args:
+        can_fetch: Whether engines can fetch a prefix from each other.
+        engine_fails: Whether one engine fails in the middle of the burst.
     """
 
     def build(rng, policies):
@@ -225,12 +231,12 @@
                 work.parts = (part, (f"own-{number}", work.prompt_tokens))
                 work.prompt_tokens += work.prefix_tokens
         faults = None
-        if lost:
-            # It fails whatever it is given, in the middle of the burst.
+        if engine_fails:
+            # The engine fails every request in the middle of the burst.
             faults = {0: {"fail_from_s": 20.0, "fail_until_s": 30.0}}
         if policies.choice == schema.Policies().choice:
             policies = dataclasses.replace(policies, choice="first-event")
-        link = LINK_MBIT_PER_S if fetched else 0.0
+        link = LINK_MBIT_PER_S if can_fetch else 0.0
         return _scenario(policies, works, faults, link, gossip_delay_s=1.5)
 
     return build
@@ -242,21 +248,21 @@
 
 
 def _overstated_slots(rng, policies):
-    """Two of four engines hold half of what the document says."""
+    """Two of four engines have memory for half of the documented slots."""
     small = {"knee": 4, "over_knee_step_s": 0.015}
     works = _mixed(rng, 0.8, 0.8, 0.8)
     return _scenario(policies, works, {0: small, 1: small})
 
 
 def _memory_short(rng, policies):
-    """Every engine holds half of what the document says."""
+    """All engines have memory for half of the documented slots."""
     small = {"knee": 4, "over_knee_step_s": 0.03}
     works = _mixed(rng, 0.5, 0.5, 0.5)
     return _scenario(policies, works, dict.fromkeys(range(4), small))
 
 
 def _small_batches(rng, policies):
-    """All engines run four at a time and keep the others waiting inside."""
+    """All engines run four requests at a time and queue the others."""
     small = {"batch": 4}
     works = _mixed(rng, 0.6, 0.6, 0.6)
     return _scenario(policies, works, dict.fromkeys(range(4), small))
@@ -305,10 +311,10 @@
 
 def _crash(rng, policies):
     works = _mixed(rng, 0.6, 0.6, 0.6)
-    bad = list(_arrivals(rng, DESK, 1.0, 10.0, 20.0))[:2]
-    for work in bad:
+    crashing = list(_arrivals(rng, DESK, 1.0, 10.0, 20.0))[:2]
+    for work in crashing:
         work.crashes = True
-    return _scenario(policies, works + bad)
+    return _scenario(policies, works + crashing)
 
 
 def _fail_fast(rng, policies):
@@ -324,17 +330,21 @@
         Pattern("hot-workspace", ("queue",), _hot_workspace),
         Pattern("hot-prefix", ("choice",), _hot_prefix),
         Pattern("many-prefixes", ("choice",), _many_prefixes),
-        Pattern("beginnings-read", ("choice",), _beginnings(fetched=False)),
-        Pattern("beginnings-fetched", ("choice",), _beginnings(fetched=True)),
+        Pattern(
+            "beginnings-read", ("choice",), _shared_prefixes(can_fetch=False)
+        ),
+        Pattern(
+            "beginnings-fetched", ("choice",), _shared_prefixes(can_fetch=True)
+        ),
         Pattern(
             "beginnings-lost-read",
             ("choice",),
-            _beginnings(fetched=False, lost=True),
+            _shared_prefixes(can_fetch=False, engine_fails=True),
         ),
         Pattern(
             "beginnings-lost-fetched",
             ("choice",),
-            _beginnings(fetched=True, lost=True),
+            _shared_prefixes(can_fetch=True, engine_fails=True),
         ),
         Pattern("slow-endpoint", ("choice", "limits"), _slow_endpoint),
         Pattern("overstated-slots", ("limits",), _overstated_slots),
--- a/benchmarks/placing_cost.py
+++ b/benchmarks/placing_cost.py
@@ -1,8 +1,9 @@
-"""What a question to the placer costs: ``python -m benchmarks.placing_cost``.
+"""Cost of a question to the placer: ``python -m benchmarks.placing_cost``.
 
-Two entries in one process, over loopback, each with a broker, a port and a
-client, as the entry role wires them. One of them places; requests are handed to
-the other one, begin and end. The processor time is that of both sides together.
+Two entries run in one process and connect over loopback, each with a broker, a
+server and a client, as in the entry role. One is the placer; requests are
+submitted to the other one, started and finished. The CPU time is that of both
+entries together.
 """
 
 import argparse
@@ -33,7 +34,7 @@
 
 
 class _Entry:
-    """One entry without callers."""
+    """One entry, whose requests are submitted directly."""
 
     def __init__(self, name: str, document, members: dict[str, str]):
         self.broker = broker_module.Broker(
@@ -68,7 +69,7 @@
         )
 
     def start(self) -> None:
-        """Starts listening and asking."""
+        """Starts the server and the client."""
         self.broker.start()
         self.loop.start()
         self.server.start()
@@ -98,7 +99,7 @@
 
 
 def main() -> None:
-    """Prints processor time and time of a question."""
+    """Prints the CPU time and the latency of a question."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--questions", type=int, default=2_000)
     options = parser.parse_args()
@@ -116,27 +117,27 @@
     time.sleep(START_S)
     order = ranking_module.PlacerRanking()
     order.set_members(names)
-    asker = next(
+    sender = next(
         entry
         for name, entry in entries.items()
         if name != order.first(time.monotonic())
     )
-    took_s = []
-    begin_cpu_s = time.process_time()
+    latencies_s = []
+    start_cpu_s = time.process_time()
     for job in _jobs(options.questions):
         now_s = time.monotonic()
         job = dataclasses.replace(job, arrived_s=now_s, deadline_s=now_s + 60.0)
-        ticket = asker.broker.submit(job)
+        ticket = sender.broker.submit(job)
         ticket.placed.result()
-        took_s.append(time.monotonic() - now_s)
-        asker.broker.first_token(job.request_id)
-        asker.broker.finish(job.request_id, messages.Outcome.DONE)
-    cpu_s = time.process_time() - begin_cpu_s
-    cuts = statistics.quantiles(took_s, n=20)
+        latencies_s.append(time.monotonic() - now_s)
+        sender.broker.first_token(job.request_id)
+        sender.broker.finish(job.request_id, messages.Outcome.DONE)
+    cpu_s = time.process_time() - start_cpu_s
+    cuts_s = statistics.quantiles(latencies_s, n=20)
     print(
         f"{options.questions} questions: {cpu_s / options.questions * 1e3:.3f} "
-        f"ms of CPU each, both sides; answered in {cuts[9] * 1e3:.2f} ms "
-        f"(median), {cuts[18] * 1e3:.2f} ms (95 in 100)"
+        f"ms of CPU each, both entries; answered in {cuts_s[9] * 1e3:.2f} ms "
+        f"(median), {cuts_s[18] * 1e3:.2f} ms (95th percentile)"
     )
 
 
--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -1,8 +1,8 @@
-"""Endpoints that state rate limits, and several ways to share one out.
+"""Simulates endpoints with rate limits and several ways to divide a limit.
 
-Virtual time: streams arrive at the delegates of several failure domains; from
-a moment on some endpoints state a limit in every answer. Run it with
-``python -m benchmarks.rate_limits``.
+In virtual time, requests arrive at the delegates of several failure domains.
+From `STATED_FROM_S` on, some endpoints state a limit in every answer. Run it
+with ``python -m benchmarks.rate_limits``.
 """
 
 import argparse
@@ -33,27 +33,27 @@
 
 WINDOW_S = 4.0
 GRACE_S = 0.5
-"""An instance counts once it has known of a limit for this long."""
+"""Time from an instance's first answer with a limit until it must comply."""
 
 _SERVICE = ids.ServiceId("letters")
 _SEEDS = (1, 2, 3)
 
 
 def allowed(limit_per_s: float) -> float:
-    """Returns the requests that an endpoint may get in `WINDOW_S`."""
+    """Returns the requests that an endpoint may receive in `WINDOW_S`."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What is played.
+    """Load of a simulation.
 
     Attributes:
         domains: Failure domains.
         engines: Endpoints without a limit, over all domains.
         limited: Endpoints that state a limit, over all domains.
-        limit_per_s: That limit.
-        rate_per_s: Requests a second, over all instances.
+        limit_per_s: The stated limit.
+        rate_per_s: Requests per second, over all instances.
     """
 
     domains: int
@@ -87,9 +87,9 @@
     """The delegates of several domains over one set of endpoints.
 
     Attributes:
-        counted: Times at which a limited endpoint got a request from an
-            instance that had known of its limit for `GRACE_S`, by endpoint.
-        sent: Requests that limited endpoints got once they stated limits.
+        counted: By limited endpoint, the times of requests from instances that
+            received its limit at least `GRACE_S` before.
+        sent: Requests to limited endpoints after `STATED_FROM_S`.
         in_time: Requests whose first event came within the target.
         refused: Requests that were refused.
         offered: Requests that arrived.
@@ -105,7 +105,7 @@
             ids.EndpointId(f"10.0.0.{number}:80#limited")
             for number in range(load.limited)
         ]
-        self._knows_from_s: dict[tuple[int, ids.EndpointId], float] = {}
+        self._limit_received_s: dict[tuple[int, ids.EndpointId], float] = {}
         self.counted: dict[ids.EndpointId, list[float]] = {
             endpoint: [] for endpoint in self._limited
         }
@@ -114,11 +114,11 @@
         self.refused = 0
         self.offered = 0
         self._arrived_s: dict[ids.RequestId, float] = {}
-        self._deciders = [
-            self._decider(number, seed) for number in range(load.domains)
+        self._dispatchers = [
+            self._new_dispatcher(number, seed) for number in range(load.domains)
         ]
 
-    def _found(self) -> abc.Iterator[messages.KnownEndpoint]:
+    def _endpoints(self) -> abc.Iterator[messages.KnownEndpoint]:
         domains = self._load.domains
         for number, endpoint in enumerate(self._limited):
             domain = f"domain-{number % domains}"
@@ -128,7 +128,7 @@
                 f"10.0.1.{number}:80", _SERVICE, f"domain-{number % domains}", 4
             )
 
-    def _decider(self, number: int, seed: int) -> core.Dispatcher:
+    def _new_dispatcher(self, number: int, seed: int) -> core.Dispatcher:
         context = context_module.PolicyContext(
             _document(),
             ids.InstanceId(f"entry-{number}"),
@@ -136,22 +136,22 @@
             random.Random(seed * 100 + number),
             whole_domain=True,
         )
-        decider = core.Dispatcher(context, 0.0)
-        decider.set_discovered(tuple(self._found()), 0.0)
-        return decider
+        dispatcher = core.Dispatcher(context, 0.0)
+        dispatcher.set_discovered(tuple(self._endpoints()), 0.0)
+        return dispatcher
 
-    def _at(self, when_s: float, event: abc.Callable[[], None]) -> None:
-        heapq.heappush(self._heap, (when_s, next(self._order), event))
+    def _at(self, event_s: float, event: abc.Callable[[], None]) -> None:
+        heapq.heappush(self._heap, (event_s, next(self._order), event))
 
     def run(self) -> "World":
-        """Plays the load to its end."""
+        """Runs the simulation to its end."""
         arrival_s = 0.0
         while True:
             arrival_s += self._rng.expovariate(self._load.rate_per_s)
             if arrival_s >= END_S:
                 break
             self._at(arrival_s, self._arrive)
-        for number in range(len(self._deciders)):
+        for number in range(len(self._dispatchers)):
             self._at(0.0, lambda number=number: self._tick(number))
         while self._heap and self._heap[0][0] <= END_S:
             self._now_s, _, event = heapq.heappop(self._heap)
@@ -159,12 +159,12 @@
         return self
 
     def _tick(self, number: int) -> None:
-        self._deciders[number].refresh_shares(self._now_s)
-        self._pump(number)
+        self._dispatchers[number].refresh_shares(self._now_s)
+        self._place(number)
         self._at(self._now_s + TICK_S, lambda: self._tick(number))
 
     def _arrive(self) -> None:
-        number = self._rng.randrange(len(self._deciders))
+        number = self._rng.randrange(len(self._dispatchers))
         job = messages.Job(
             request_id=ids.RequestId(f"r{next(self._order)}"),
             workspace=ids.WorkspaceId("one"),
@@ -179,17 +179,17 @@
         )
         self._arrived_s[job.request_id] = self._now_s
         self.offered += 1
-        if self._deciders[number].offer(job, self._now_s) is not None:
+        if self._dispatchers[number].offer(job, self._now_s) is not None:
             self.refused += 1
-        self._pump(number)
+        self._place(number)
 
-    def _pump(self, number: int) -> None:
-        for decision in list(self._deciders[number].place(self._now_s)):
+    def _place(self, number: int) -> None:
+        for decision in list(self._dispatchers[number].place(self._now_s)):
             if not isinstance(decision, messages.Placement):
                 self.refused += 1
                 continue
             if decision.endpoint in self.counted:
-                self._count(number, decision.endpoint)
+                self._count_sent(number, decision.endpoint)
             self._at(
                 self._now_s + ANSWER_S,
                 lambda decision=decision: self._answer(number, decision),
@@ -199,30 +199,34 @@
                 lambda decision=decision: self._end(number, decision),
             )
 
-    def _count(self, number: int, endpoint: ids.EndpointId) -> None:
+    def _count_sent(self, number: int, endpoint: ids.EndpointId) -> None:
         self.sent += self._now_s >= STATED_FROM_S
-        known_s = self._knows_from_s.get((number, endpoint), float("inf"))
-        if self._now_s >= known_s + GRACE_S:
+        received_s = self._limit_received_s.get(
+            (number, endpoint), float("inf")
+        )
+        if self._now_s >= received_s + GRACE_S:
             self.counted[endpoint].append(self._now_s)
 
     def _answer(self, number: int, decision: messages.Placement) -> None:
-        decider = self._deciders[number]
-        decider.first_token(decision.request_id, self._now_s)
+        dispatcher = self._dispatchers[number]
+        dispatcher.first_token(decision.request_id, self._now_s)
         waited_s = self._now_s - self._arrived_s[decision.request_id]
         self.in_time += waited_s <= TARGET_S
         endpoint = decision.endpoint
         if endpoint in self.counted and self._now_s >= STATED_FROM_S:
             stated = messages.RateLimit(self._load.limit_per_s, self._now_s)
-            decider.update_rate_limit(endpoint, stated)
-            self._knows_from_s.setdefault((number, endpoint), self._now_s)
+            dispatcher.update_rate_limit(endpoint, stated)
+            self._limit_received_s.setdefault((number, endpoint), self._now_s)
 
     def _end(self, number: int, decision: messages.Placement) -> None:
         outcome = messages.Outcome.DONE
-        self._deciders[number].finish(decision.request_id, outcome, self._now_s)
-        self._pump(number)
+        self._dispatchers[number].finish(
+            decision.request_id, outcome, self._now_s
+        )
+        self._place(number)
 
     def most_in_window(self) -> int:
-        """Returns the most requests that counted in `WINDOW_S`."""
+        """Returns the most counted requests of an endpoint in `WINDOW_S`."""
         return max(
             sum(begin_s <= each < begin_s + WINDOW_S for each in times)
             for times in self.counted.values()
@@ -230,35 +234,35 @@
         )
 
 
-_Way = abc.Callable[..., rate_limits.RateShare]
+_Split = abc.Callable[..., rate_limits.RateShare]
 
 
-def _shared(home_share: float, domains: int) -> _Way:
-    """Returns the way that shares the rest out evenly to other domains."""
+def _divide(home_share: float, domains: int) -> _Split:
+    """Returns a split that gives the rest evenly to the other domains."""
 
-    def part(limit_per_s, endpoint, home, own):
-        others_share = (1.0 - home_share) / (domains - 1)
-        share = home_share if own == home else others_share
+    def delegate_share(limit_per_s, endpoint, home, own):
+        other_share = (1.0 - home_share) / (domains - 1)
+        share = home_share if own == home else other_share
         per_s = rate_limits.USED_SHARE * limit_per_s * share
         return rate_limits.RateShare(max(per_s, rate_limits.PROBES_PER_S))
 
-    return part
+    return delegate_share
 
 
-def _ways(load: Load) -> dict[str, _Way]:
-    """Returns ways to share a limit out, by name."""
+def _splits(load: Load) -> dict[str, _Split]:
+    """Returns ways to divide a limit, by name."""
     return {
         "none": lambda *_: rate_limits.RateShare(1_000.0),
         "home domain only (kept)": rate_limits.delegate_part,
-        "half to the home domain": _shared(0.5, load.domains),
-        "even over domains": _shared(1.0 / load.domains, load.domains),
+        "half to the home domain": _divide(0.5, load.domains),
+        "even over domains": _divide(1.0 / load.domains, load.domains),
     }
 
 
-def _row(name: str, load: Load, part: _Way) -> str:
-    with mock.patch.object(rate_limits, "delegate_part", part):
+def _row(name: str, load: Load, delegate_share: _Split) -> str:
+    with mock.patch.object(rate_limits, "delegate_part", delegate_share):
         worlds = [World(load, seed).run() for seed in _SEEDS]
-    most = max(world.most_in_window() for world in worlds)
+    max_counted = max(world.most_in_window() for world in worlds)
     offered = sum(world.offered for world in worlds)
     in_time = sum(world.in_time for world in worlds) / offered
     refused = sum(world.refused for world in worlds) / offered
@@ -266,26 +270,29 @@
     used = sum(world.sent for world in worlds) / stated / len(worlds)
     return (
         f"| {name} | {load.domains} | {load.limited} "
-        f"| {most} of {allowed(load.limit_per_s):.0f} | {used:.2f} "
+        f"| {max_counted} of {allowed(load.limit_per_s):.0f} | {used:.2f} "
         f"| {in_time:.3f} | {refused:.3f} |"
     )
 
 
 def main() -> None:
-    """Prints a table of the ways."""
+    """Prints a table that compares the ways to divide a limit."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--limit-per-s", type=float, default=1.0)
     limit_per_s = parser.parse_args().limit_per_s
     lines = [
-        "| way | domains | limited | most in 4 s | used | in time | refused |",
+        "| split | domains | limited | max in 4 s | used | in time | refused |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
     for domains in (3, 6):
         for engines, limited in ((2 * domains, 1), (0, 4 * domains)):
             rate_per_s = engines * 2.5 + 0.9 * limit_per_s * limited
             load = Load(domains, engines, limit_per_s, limited, rate_per_s)
-            ways = _ways(load).items()
-            lines += [_row(name, load, part) for name, part in ways]
+            splits = _splits(load).items()
+            lines += [
+                _row(name, load, delegate_share)
+                for name, delegate_share in splits
+            ]
     sys.stdout.write("\n".join(lines) + "\n")
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,9 +1,9 @@
-"""What relaying costs: CPU, rate and memory of one entry.
+"""Cost of relaying: CPU, rate and memory of one entry.
 
 One real control process, one entry and stand-in engines run on loopback. The
-entry's CPU time is read from ``/proc/<pid>/stat``. The same callers also go
-straight to the stand-ins, in the same run, so that what the callers and the
-stand-ins cost can be told from what the entry costs.
+entry's CPU time is read from ``/proc/<pid>/stat``. In the same run the callers
+also connect to the stand-ins directly, which separates the cost of the entry
+from that of the callers and the stand-ins.
 
 Run as ``python -m benchmarks.relay``.
 """
@@ -61,10 +61,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What the callers ask for.
+    """Requests of the callers.
 
     Attributes:
-        callers: Callers at once; each asks again as soon as it is answered.
+        callers: Concurrent callers; each sends again after every answer.
         tokens: Length of each answer.
     """
 
@@ -77,10 +77,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Measured:
-    """What was seen during one load.
+    """Measurements of one load.
 
     Attributes:
-        cpu_s: CPU time of the entry; 0 where callers went past it.
+        cpu_s: CPU time of the entry; 0 for direct connections.
     """
 
     wall_s: float
@@ -92,9 +92,9 @@
 
 
 class _Caller:
-    """One caller in a closed loop; driven by `_drive`."""
+    """One caller in a closed loop; run by `_run_callers`."""
 
-    def __init__(self, url: str, load: Load, place: float):
+    def __init__(self, url: str, load: Load, first_answer_share: float):
         self.first_s: list[float] = []
         self.gaps_s: list[float] = []
         self.requests = 0
@@ -104,9 +104,9 @@
         self._load = load
         self.easy = pycurl.Curl()
         self.easy.setopt(pycurl.URL, url + "/v1/chat/completions")
-        # The first answers differ in length, so that callers don't all ask
-        # again at one moment.
-        self._ask_for(max(1, round(load.tokens * place)))
+        # The first answers differ in length, so that the callers don't all
+        # send again at the same time.
+        self._set_body(max(1, round(load.tokens * first_answer_share)))
         self.easy.setopt(
             pycurl.HTTPHEADER,
             [f"Authorization: Bearer {KEY}", "Expect:"],
@@ -116,7 +116,7 @@
         self.easy.setopt(pycurl.NOPROXY, "*")
         self.easy.setopt(pycurl.WRITEFUNCTION, self._on_body)
 
-    def _ask_for(self, tokens: int) -> None:
+    def _set_body(self, tokens: int) -> None:
         body = {
             "model": "m",
             "messages": [{"role": "user", "content": "x" * 400}],
@@ -127,7 +127,7 @@
 
     def begin(self) -> None:
         if self.requests:
-            self._ask_for(self._load.tokens)
+            self._set_body(self._load.tokens)
         self._sent_s = time.monotonic()
         self._last_s = None
 
@@ -141,7 +141,7 @@
         self.chunks += data.count(b"data: {")
 
 
-def _drive(callers: list[_Caller], until_s: float) -> None:
+def _run_callers(callers: list[_Caller], until_s: float) -> None:
     multi = pycurl.CurlMulti()
     by_easy = {caller.easy: caller for caller in callers}
     for caller in callers:
@@ -153,11 +153,13 @@
             pass
         _, done, failed = multi.info_read()
         if failed:
-            raise RuntimeError(f"a caller failed: {failed[0][1:]}")
+            raise RuntimeError(f"a request failed: {failed[0][1:]}")
         for easy in done:
             status = easy.getinfo(pycurl.RESPONSE_CODE)
             if status != 200:
-                raise RuntimeError(f"a caller was answered {status}")
+                raise RuntimeError(
+                    f"a request was answered with status {status}"
+                )
             caller = by_easy[easy]
             caller.requests += 1
             multi.remove_handle(easy)
@@ -176,12 +178,12 @@
 def measure(
     urls: list[str], pid: int | None, load: Load, seconds: float
 ) -> Measured:
-    """Puts a load on some addresses and reads what it took.
+    """Runs a load against some URLs and measures it.
 
     Args:
-        urls: Where callers go, each to one of them in turn.
+        urls: URLs over which the callers are spread in turn.
         pid: Process whose CPU time is read, or None.
-        load: What callers ask for.
+        load: Requests of the callers.
         seconds: Length of the measured part, after `WARM_UP_S`.
     """
     callers = [
@@ -189,19 +191,19 @@
         for number in range(load.callers)
     ]
     end_s = time.monotonic() + WARM_UP_S + seconds
-    thread = threading.Thread(target=_drive, args=(callers, end_s))
+    thread = threading.Thread(target=_run_callers, args=(callers, end_s))
     thread.start()
     time.sleep(WARM_UP_S)
     for caller in callers:
         caller.first_s.clear()
         caller.gaps_s.clear()
-    before = _count(callers)
+    before = _totals(callers)
     cpu_s = process_cost.cpu_s(pid) if pid else 0.0
     start_s = time.monotonic()
     time.sleep(max(0.0, end_s - start_s - 0.05))
     wall_s = time.monotonic() - start_s
     cpu_s = process_cost.cpu_s(pid) - cpu_s if pid else 0.0
-    after = _count(callers)
+    after = _totals(callers)
     thread.join()
     return Measured(
         wall_s,
@@ -213,23 +215,23 @@
     )
 
 
-def _count(callers: list[_Caller]) -> tuple[int, int]:
+def _totals(callers: list[_Caller]) -> tuple[int, int]:
     requests = sum(caller.requests for caller in callers)
     return requests, sum(caller.chunks for caller in callers)
 
 
-def _row(name: str, way: str, seen: Measured) -> str:
+def _row(name: str, route: str, measured: Measured) -> str:
     per_chunk = "-"
-    if seen.chunks:
-        per_chunk = f"{1e6 * seen.cpu_s / seen.chunks:.0f}"
+    if measured.chunks:
+        per_chunk = f"{1e6 * measured.cpu_s / measured.chunks:.0f}"
     return (
-        f"| {name} | {way} | {seen.requests / seen.wall_s:.0f} "
-        f"| {seen.chunks / seen.wall_s:.0f} "
-        f"| {100 * seen.cpu_s / seen.wall_s:.0f}% "
-        f"| {1e6 * seen.cpu_s / max(seen.requests, 1):.0f} "
+        f"| {name} | {route} | {measured.requests / measured.wall_s:.0f} "
+        f"| {measured.chunks / measured.wall_s:.0f} "
+        f"| {100 * measured.cpu_s / measured.wall_s:.0f}% "
+        f"| {1e6 * measured.cpu_s / max(measured.requests, 1):.0f} "
         f"| {per_chunk} "
-        f"| {1e3 * seen.first_token_p95_s:.1f} "
-        f"| {1e3 * seen.gap_p95_s:.1f} |"
+        f"| {1e3 * measured.first_token_p95_s:.1f} "
+        f"| {1e3 * measured.gap_p95_s:.1f} |"
     )
 
 
@@ -272,16 +274,16 @@
         )
         print("| --- " * 9 + "|")
         for load in LOADS:
-            _pace(engines, load.token_s)
+            _set_token_time(engines, load.token_s)
             direct = measure(engines, None, load, options.seconds)
             print(_row(load.name, "direct", direct), flush=True)
-            through = measure([entry], pid, load, options.seconds)
-            print(_row(load.name, "entry", through), flush=True)
+            via_entry = measure([entry], pid, load, options.seconds)
+            print(_row(load.name, "entry", via_entry), flush=True)
         busy_mib = process_cost.memory_bytes(pid) / BYTES_PER_MIB
         print(f"\nbusy entry: {busy_mib:.0f} MiB resident")
 
 
-def _pace(engines: list[str], token_s: float) -> None:
+def _set_token_time(engines: list[str], token_s: float) -> None:
     for engine in engines:
         easy = pycurl.Curl()
         easy.setopt(pycurl.URL, f"{engine}/standin/behaviour")
--- a/benchmarks/results.py
+++ b/benchmarks/results.py
@@ -1,4 +1,4 @@
-"""What callers received, summed up by class."""
+"""Results of a run, by class."""
 
 import collections
 import dataclasses
@@ -9,7 +9,7 @@
 __all__ = ["ClassResult", "Result", "merge"]
 
 WINDOW_S = 10.0
-"""Length of the windows in which each class should complete work."""
+"""Length of the windows in which completed requests are counted."""
 
 
 @dataclasses.dataclass
@@ -17,10 +17,14 @@
     """One class in one run.
 
     Attributes:
-        offered: Callers' requests; a resend is not counted again.
-        attained: First token in time, from the first sending on, and whole.
-        refusals: Refusals answered; one request may collect several.
+        offered: Requests of callers, without repeated sends.
+        completed: Requests that were answered completely.
+        attained: Completed requests whose first token came in time, counted
+            from the first send.
+        refusals: Refusals; one request may receive several.
         worst_wait_s: Longest time from arrival to first token or final error.
+        best_share: Upper bound of `attainment_share`.
+        windows: Completed requests by number of the `WINDOW_S` window.
     """
 
     offered: float = 0
@@ -44,18 +48,18 @@
     """One run.
 
     Attributes:
-        useful_s: Engine time of the answers that were whole while the load
-            lasted, in full batches.
-        wasted_s: Engine time of answers that nobody received whole.
-        capacity_s: Engine time that there was.
-        cached_share: Part of all prompt tokens that engines kept already.
-        fetched_share: Part that they fetched from each other.
-        best_goodput_share: Most that any order could give.
-        crashes: Endpoints that died.
-        innocents_lost: Harmless requests that ended in an error after a
-            crash or in the quarantine.
+        useful_s: Engine time, in full batches, of the answers that were
+            complete before the arrivals ended.
+        wasted_s: Engine time of runs that were not answered completely.
+        capacity_s: Available engine time.
+        best_goodput_share: Upper bound of `goodput_share`.
+        cached_share: Part of all prompt tokens found in an engine's cache.
+        fetched_share: Part fetched from the cache of another engine.
+        crashes: Crashes of endpoints.
+        innocents_lost: Harmless requests that ended in an error after the
+            first crash.
         innocents_quarantined: Harmless requests marked as crashing.
-        most_over_limit: Most requests at once on an endpoint beyond its limit.
+        most_over_limit: Most concurrent requests above an endpoint's limit.
     """
 
     classes: dict[ids.ClassId, ClassResult]
@@ -72,12 +76,12 @@
 
     @property
     def goodput_share(self) -> float:
-        """Useful engine time out of all there was."""
+        """Share of the available engine time that was useful."""
         return self.useful_s / max(self.capacity_s, 1e-9)
 
     @property
     def wasted_share(self) -> float:
-        """Wasted engine time out of all that was used."""
+        """Share of the used engine time that was wasted."""
         return self.wasted_s / max(self.useful_s + self.wasted_s, 1e-9)
 
 
@@ -85,7 +89,11 @@
 
 
 def merge(results: list[Result]) -> Result:
-    """Returns the mean of several seeds; of waits the worst."""
+    """Merges the results of several seeds.
+
+    Takes the maximum of the fields in `_MAXIMA`, the minimum of each window
+    and the mean of all others.
+    """
     merged = _mean(results, Result, skip=("classes",))
     for class_id in results[0].classes:
         parts = [result.classes[class_id] for result in results]
@@ -104,8 +112,8 @@
         if field.name in skip:
             continue
         numbers = [getattr(part, field.name) for part in parts]
-        summed = max if field.name in _MAXIMA else statistics.fmean
-        values[field.name] = summed(numbers)
+        merge_values = max if field.name in _MAXIMA else statistics.fmean
+        values[field.name] = merge_values(numbers)
     if cls is Result:
         values["classes"] = {}
     return cls(**values)
--- a/benchmarks/scaling.py
+++ b/benchmarks/scaling.py
@@ -1,9 +1,10 @@
-"""Ways to decide on the number of endpoints, over patterns of work.
+"""Compares ways to choose the number of endpoints over load patterns.
 
-Virtual time: the decisions and orders are the real ones; the platform, with
-its starts, reclaims and refusals, and the work are models. Work is late in the
-measure in which reading takes more than half of the endpoints' time, and all
-of it where it takes all: a stand-in for queues, the same for every way.
+Runs the real decisions and orders in virtual time against a model of the load
+and of a platform that starts, reclaims and refuses endpoints. Queues are
+approximated in the same way for each scaler: the late share of the work grows
+linearly from 0, where prefill takes half of the endpoints' time, to 1, where
+it takes all of it.
 
     python -m benchmarks.scaling
 """
@@ -22,15 +23,15 @@
 
 STEP_S = 0.5
 LENGTH_S = 60.0
-LEAD_S = 12.0
-CALM = 4.8
-"""Endpoints kept busy by reading, in calm."""
+LEAD_TIME_S = 12.0
+BASE_LOAD = 4.8
+"""Endpoints that prefill occupies at the base load."""
 
 REGULAR = 5
-"""Endpoints of the dearer kind in each domain at the start."""
+"""Endpoints of the regular, more expensive kind in each domain at the start."""
 
-KNOWN_AFTER_S = 2.0
-"""Age of what is known of demand and of the list."""
+OBSERVATION_DELAY_S = 2.0
+"""Age of the demand and the endpoint list that a decision uses."""
 
 DOMAINS = [ids.DomainId(name) for name in "abcdef"]
 SERVICE = schema.Service(
@@ -45,13 +46,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pattern:
-    """What happens in a play.
+    """Load and platform faults of a simulation.
 
     Attributes:
-        factor: Times the calm load, by time.
-        reclaimed: Domains whose reclaimable endpoints go at `AT_S`.
-        dry: Domains in which no more are to be had for `DRY_S` from then.
-        lost: Whether the first orders get no answer and are carried out late.
+        factor: Factor of the base load, by time.
+        reclaimed: Number of domains whose reclaimable endpoints are removed
+            at `AT_S`.
+        dry: Number of domains that refuse new reclaimable endpoints for
+            `DRY_S` from `AT_S` on; all domains always do if it is negative.
+        lost: Whether the first orders get no answer and take effect late.
     """
 
     factor: abc.Callable[[float], float] = lambda _: 1.0
@@ -89,12 +92,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """What a play came to.
+    """Result of a simulation.
 
     Attributes:
         late_share: Part of the work that is late.
-        price: What the endpoints cost, in seconds of one of price 1.
-        orders: Calls made.
+        price: Cost of the endpoints, in endpoint seconds at a price of 1.
+        orders: Number of calls to the platform.
     """
 
     late_share: float
@@ -105,23 +108,23 @@
 class _Platform:
     def __init__(self, pattern: Pattern):
         self._pattern = pattern
-        self.now_s = -LEAD_S
+        self.now_s = -LEAD_TIME_S
         self.counts = {(d, False): REGULAR for d in DOMAINS}
         self._due: list[tuple[float, tuple[ids.DomainId, bool], int]] = []
 
     def take(self, call: base.EndpointOrder) -> base.Outcome:
         key = call.domain, call.spot
-        more = call.count > self.counts.get(key, 0)
-        if more and call.spot and self._is_dry(call.domain):
+        adds_endpoints = call.count > self.counts.get(key, 0)
+        if adds_endpoints and call.spot and self._refuses_spot(call.domain):
             return base.Outcome.REFUSED
-        late_s = SERVICE.scaling.boot_s if more else 0.0
-        if self._pattern.lost and self.now_s < -LEAD_S + 2.0:
-            self._due.append((self.now_s + 6.0 + late_s, key, call.count))
+        delay_s = SERVICE.scaling.boot_s if adds_endpoints else 0.0
+        if self._pattern.lost and self.now_s < -LEAD_TIME_S + 2.0:
+            self._due.append((self.now_s + 6.0 + delay_s, key, call.count))
             return base.Outcome.UNKNOWN
-        self._due.append((self.now_s + late_s, key, call.count))
+        self._due.append((self.now_s + delay_s, key, call.count))
         return base.Outcome.TAKEN
 
-    def _is_dry(self, domain: ids.DomainId) -> bool:
+    def _refuses_spot(self, domain: ids.DomainId) -> bool:
         if self._pattern.dry < 0:
             return True
         dry = DOMAINS[: self._pattern.dry]
@@ -146,32 +149,36 @@
         }
 
     def price(self) -> float:
-        found = SERVICE.scaling
+        settings = SERVICE.scaling
         return sum(
-            count * found.prices[domain] * (found.spot_price if spot else 1.0)
+            count
+            * settings.prices[domain]
+            * (settings.spot_price if spot else 1.0)
             for (domain, spot), count in self.counts.items()
         )
 
 
 def play(way: type[scaling.Scaler], pattern: Pattern) -> Result:
-    """Plays one pattern with one way."""
+    """Simulates one pattern with one scaler."""
     platform, scaler, orders = _Platform(pattern), way(), ordering.Ordering()
-    known: list[tuple[float, dict]] = []
-    late = asked = price = 0.0
+    observed: list[tuple[float, dict]] = []
+    late = offered = price = 0.0
     calls = 0
     while platform.now_s < LENGTH_S:
         platform.step()
         now_s = platform.now_s
-        load = CALM * pattern.factor(now_s) if now_s >= 0 else 0.0
+        load = BASE_LOAD * pattern.factor(now_s) if now_s >= 0 else 0.0
         ready = sum(f.spot + f.regular for f in platform.fleets().values())
-        used = load / ready if ready else 1.0
-        late += load * min(max(2 * used - 1, 0.0), 1.0) * STEP_S
-        asked += load * STEP_S
+        utilisation = load / ready if ready else 1.0
+        late += load * min(max(2 * utilisation - 1, 0.0), 1.0) * STEP_S
+        offered += load * STEP_S
         price += platform.price() * STEP_S
-        known.append((load, platform.fleets()))
-        then = known[max(len(known) - 1 - int(KNOWN_AFTER_S / STEP_S), 0)]
-        calls += _order(way, scaler, orders, platform, then)
-    return Result(late / asked, price, calls)
+        observed.append((load, platform.fleets()))
+        observation = observed[
+            max(len(observed) - 1 - int(OBSERVATION_DELAY_S / STEP_S), 0)
+        ]
+        calls += _order(way, scaler, orders, platform, observation)
+    return Result(late / offered, price, calls)
 
 
 def _order(
@@ -179,9 +186,9 @@
     scaler: scaling.Scaler,
     orders: ordering.Ordering,
     platform: _Platform,
-    known: tuple[float, dict[ids.DomainId, ordering.Fleet]],
+    observed: tuple[float, dict[ids.DomainId, ordering.Fleet]],
 ) -> int:
-    load, fleets = known
+    load, fleets = observed
     if way is scaling.Unchanged:
         return 0
     share = scaling.DomainDemand(load / len(DOMAINS), 0.0)
@@ -197,15 +204,15 @@
 
 
 def main() -> None:
-    """Prints a table: late share, price and orders by pattern and way."""
+    """Prints late share, price and orders by pattern and scaler."""
     print("| pattern | " + " | ".join(WAYS) + " |")
     print("| --- |" + " --- |" * len(WAYS))
     for name, pattern in PATTERNS.items():
         cells = []
         for way in WAYS.values():
-            found = play(way, pattern)
+            result = play(way, pattern)
             cells.append(
-                f"{found.late_share:.3f}, {found.price:.0f}, {found.orders}"
+                f"{result.late_share:.3f}, {result.price:.0f}, {result.orders}"
             )
         print(f"| {name} | " + " | ".join(cells) + " |")
 
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,4 +1,4 @@
-"""What one run of the driver is given: load, engines, faults."""
+"""Input of one run of the driver: load, engines and faults."""
 
 import dataclasses
 
@@ -15,15 +15,16 @@
 
     Attributes:
         document: Classes, the service and the policies.
-        engines: How each endpoint of the document performs.
-        works: Callers' requests.
-        entry_weights: How the balancer spreads callers over the entries.
-        gossip_delay_s: Age of a peer's demand when it arrives.
-        cut_from_s: From this moment no gossip arrives, until `cut_until_s`.
-        drain_s: Time after the last arrival in which work may still end.
-        asked: Whether one instance places the requests of all entries.
-        placer_lost_from_s: From this moment it is dark, until
-            `placer_lost_until_s`.
+        engines: Settings of each endpoint's engine.
+        works: Requests of the callers.
+        entry_weights: Weights by which requests are spread over the entries.
+        gossip_delay_s: Delay of gossip between entries.
+        cut_from_s: Start of the time in which no gossip is sent; it ends at
+            `cut_until_s`.
+        drain_s: Time after `duration_s` in which requests may still end.
+        asked: Whether a placer places the requests of all entries.
+        placer_lost_from_s: Start of the time in which the placer is
+            unreachable; it ends at `placer_lost_until_s`.
     """
 
     document: schema.Document
