--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -9,9 +9,9 @@
 import random
 import time
 
-from benchmarks import asked_driver
 from benchmarks import many_entries
 from benchmarks import patterns
+from benchmarks import placer_driver
 from benchmarks import results
 from cardamombarrow.document import schema
 
@@ -44,7 +44,7 @@
     """Runs a pattern with several seeds and returns the mean."""
     return results.merge(
         [
-            asked_driver.make(
+            placer_driver.make(
                 pattern.build(random.Random(seed), policies), seed
             ).run()
             for seed in range(seeds)
@@ -80,8 +80,8 @@
 def _summary(name: str, result: results.Result) -> str:
     return (
         f"{name}: crashes {result.crashes:.1f}, harmless requests failed "
-        f"{result.innocents_lost:.1f} and quarantined "
-        f"{result.innocents_quarantined:.1f}, prompt tokens from cache "
+        f"{result.harmless_failed:.1f} and quarantined "
+        f"{result.harmless_quarantined:.1f}, prompt tokens from cache "
         f"{result.cached_share:.3f} and fetched {result.fetched_share:.3f}, "
         f"max over an endpoint's limit "
         f"{result.most_over_limit:.0f}"
--- a/benchmarks/driver.py
+++ b/benchmarks/driver.py
@@ -206,16 +206,16 @@
 
     def _deliver(self, flight: Flight) -> None:
         engine = self._engines[flight.endpoint]
-        if engine.down(self._now_s):
+        if engine.is_down(self._now_s):
             self._end(flight, messages.Outcome.NOT_STARTED)
             return
-        if engine.failing(self._now_s):
+        if engine.is_failing(self._now_s):
             outcome = messages.Outcome.REFUSED_BY_ENDPOINT
             event_s = self._now_s + engine.settings.fail_after_s
             self._at(event_s, lambda: self._end(flight, outcome))
             return
         source = self._engines.get(flight.source)
-        if source is not None and source.down(self._now_s):
+        if source is not None and source.is_down(self._now_s):
             source = None
         engine.add(flight.job, flight.work, source)
         self._record_over_limit(flight.endpoint)
@@ -268,7 +268,7 @@
             work = flight.work
             self._at(self._now_s + RESEND_S, lambda: self._arrive(work))
         if self._result.crashes and not flight.work.crashes:
-            self._result.innocents_lost += 1
+            self._result.harmless_failed += 1
 
     def _record_waste(self, flight: Flight) -> None:
         if flight.tokens:
@@ -287,7 +287,7 @@
         engine.stepping = length_s is not None
         if length_s is None:
             return
-        if engine.crashing():
+        if engine.will_crash():
             self._at(self._now_s + length_s, lambda: self._crash(endpoint))
             return
         self._at(self._now_s + length_s, lambda: self._end_step(endpoint))
@@ -296,7 +296,7 @@
         result = self._engines[endpoint].end_step()
         for request_id in result.first:
             if request_id in self._flights:
-                self._first(self._flights[request_id])
+                self._first_token(self._flights[request_id])
         for request_id, tokens in result.progress:
             self._progress(endpoint, request_id, tokens)
         for request_id in result.finished:
@@ -304,7 +304,7 @@
                 self._end(self._flights[request_id], messages.Outcome.DONE)
         self._begin_step(endpoint)
 
-    def _first(self, flight: Flight) -> None:
+    def _first_token(self, flight: Flight) -> None:
         work = flight.work
         entry = self._entries[flight.entry]
         entry.first_token(flight.job.request_id, self._now_s)
@@ -347,7 +347,7 @@
     def _send_load_reports(self) -> None:
         for endpoint, engine in self._engines.items():
             engine.observe(self._now_s)
-            if not engine.down(self._now_s):
+            if not engine.is_down(self._now_s):
                 report = engine.report(self._now_s)
                 for entry in self._entries:
                     entry.report(endpoint, report)
@@ -396,12 +396,12 @@
             else self._scenario.duration_s
             for engine in self._engines.values()
         )
-        total = sum(e.prompt_tokens_read for e in self._engines.values())
+        total = sum(e.prompt_tokens_total for e in self._engines.values())
         cached = sum(e.prompt_tokens_cached for e in self._engines.values())
         fetched = sum(e.prompt_tokens_fetched for e in self._engines.values())
         result.cached_share = cached / max(total, 1)
         result.fetched_share = fetched / max(total, 1)
-        result.innocents_quarantined = len(self._quarantined_harmless())
+        result.harmless_quarantined = len(self._quarantined_harmless())
         bound.set_bounds(result, self._scenario)
         return result
 
--- a/benchmarks/fake_engine.py
+++ b/benchmarks/fake_engine.py
@@ -91,7 +91,7 @@
     parts: tuple[tuple[str, int], ...] = ()
 
     @property
-    def shared(self) -> tuple[tuple[str, int], ...]:
+    def shared_parts(self) -> tuple[tuple[str, int], ...]:
         """The parts that other requests may also contain."""
         if self.parts:
             return self.parts[:-1]
@@ -127,7 +127,7 @@
         self.settings = settings
         self.down_until_s = 0.0
         self.stepping = False
-        self.prompt_tokens_read = 0
+        self.prompt_tokens_total = 0
         self.prompt_tokens_cached = 0
         self.prompt_tokens_fetched = 0
         self._order = itertools.count()
@@ -142,11 +142,11 @@
             collections.deque(maxlen=400)
         )
 
-    def down(self, now_s: float) -> bool:
+    def is_down(self, now_s: float) -> bool:
         """Returns whether the engine refuses connections."""
         return now_s < self.down_until_s
 
-    def failing(self, now_s: float) -> bool:
+    def is_failing(self, now_s: float) -> bool:
         """Returns whether every request fails after `fail_after_s`."""
         settings = self.settings
         return settings.fail_from_s <= now_s < settings.fail_until_s
@@ -226,7 +226,7 @@
             fetched = max(
                 sequence.source._cached_prefix_tokens(work) - cached, 0
             )
-        self.prompt_tokens_read += work.prompt_tokens
+        self.prompt_tokens_total += work.prompt_tokens
         self.prompt_tokens_cached += cached
         self.prompt_tokens_fetched += fetched
         remaining = work.prompt_tokens - cached - fetched
@@ -236,14 +236,14 @@
     def _cached_prefix_tokens(self, work: Work) -> int:
         """Returns the leading tokens of a prompt that are in the cache."""
         tokens = 0
-        for name, length in work.shared:
+        for name, length in work.shared_parts:
             if name not in self._cache:
                 break
             self._cache.move_to_end(name)
             tokens += length
         return tokens
 
-    def crashing(self) -> bool:
+    def will_crash(self) -> bool:
         """Returns whether a request in the batch crashes the engine."""
         return any(s.work.crashes for s in self._batch.values())
 
@@ -265,7 +265,7 @@
         return result
 
     def _cache_prefix(self, work: Work) -> None:
-        for name, length in work.shared:
+        for name, length in work.shared_parts:
             self._cache[name] = length
             self._cache.move_to_end(name)
         while sum(self._cache.values()) > self.settings.cache_tokens:
--- a/benchmarks/asked_driver.py
+++ b/benchmarks/placer_driver.py
@@ -14,7 +14,7 @@
 from cardamombarrow.decisions import messages
 from cardamombarrow.kernel import ids
 
-__all__ = ["AskedDriver", "make"]
+__all__ = ["PlacerDriver", "make"]
 
 ANSWER_TIMEOUT_S = 0.05
 """Timeout of a question, the same as in `peers.placing_client`."""
@@ -22,11 +22,11 @@
 
 def make(scenario: scenarios.Scenario, seed: int) -> driver.Driver:
     """Returns a driver with or without a placer, as the scenario says."""
-    cls = AskedDriver if scenario.asked else driver.Driver
+    cls = PlacerDriver if scenario.asked else driver.Driver
     return cls(scenario, seed)
 
 
-class AskedDriver(driver.Driver):
+class PlacerDriver(driver.Driver):
     """One run of one scenario with a placer."""
 
     def __init__(self, scenario: scenarios.Scenario, seed: int):
@@ -158,8 +158,8 @@
 
     # -- reports to the placer ------------------------------------------------
 
-    def _first(self, flight: driver.Flight) -> None:
-        super()._first(flight)
+    def _first_token(self, flight: driver.Flight) -> None:
+        super()._first_token(flight)
         if self._placer is not None:
             self._placer.first_token(flight.job.request_id, self._now_s)
 
--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -22,7 +22,7 @@
 from cardamombarrow.document import schema
 from cardamombarrow.kernel import ids
 
-__all__ = ["GRACE_S", "WINDOW_S", "Load", "World", "allowed"]
+__all__ = ["GRACE_S", "WINDOW_S", "Load", "Simulation", "allowed_requests"]
 
 ANSWER_S = 0.3
 HOLD_S = 1.5
@@ -39,7 +39,7 @@
 _SEEDS = (1, 2, 3)
 
 
-def allowed(limit_per_s: float) -> float:
+def allowed_requests(limit_per_s: float) -> float:
     """Returns the requests that an endpoint may receive in `WINDOW_S`."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
@@ -83,7 +83,7 @@
     )
 
 
-class World:
+class Simulation:
     """The delegates of several domains over one set of endpoints.
 
     Attributes:
@@ -143,7 +143,7 @@
     def _at(self, event_s: float, event: abc.Callable[[], None]) -> None:
         heapq.heappush(self._heap, (event_s, next(self._order), event))
 
-    def run(self) -> "World":
+    def run(self) -> "Simulation":
         """Runs the simulation to its end."""
         arrival_s = 0.0
         while True:
@@ -225,7 +225,7 @@
         )
         self._place(number)
 
-    def most_in_window(self) -> int:
+    def max_in_window(self) -> int:
         """Returns the most counted requests of an endpoint in `WINDOW_S`."""
         return max(
             sum(begin_s <= each < begin_s + WINDOW_S for each in times)
@@ -261,17 +261,21 @@
 
 def _row(name: str, load: Load, delegate_share: _Split) -> str:
     with mock.patch.object(rate_limits, "delegate_part", delegate_share):
-        worlds = [World(load, seed).run() for seed in _SEEDS]
-    max_counted = max(world.most_in_window() for world in worlds)
-    offered = sum(world.offered for world in worlds)
-    in_time = sum(world.in_time for world in worlds) / offered
-    refused = sum(world.refused for world in worlds) / offered
+        simulations = [Simulation(load, seed).run() for seed in _SEEDS]
+    max_counted = max(simulation.max_in_window() for simulation in simulations)
+    offered = sum(simulation.offered for simulation in simulations)
+    in_time = sum(simulation.in_time for simulation in simulations) / offered
+    refused = sum(simulation.refused for simulation in simulations) / offered
     stated = load.limit_per_s * load.limited * (END_S - STATED_FROM_S)
-    used = sum(world.sent for world in worlds) / stated / len(worlds)
+    used = (
+        sum(simulation.sent for simulation in simulations)
+        / stated
+        / len(simulations)
+    )
     return (
         f"| {name} | {load.domains} | {load.limited} "
-        f"| {max_counted} of {allowed(load.limit_per_s):.0f} | {used:.2f} "
-        f"| {in_time:.3f} | {refused:.3f} |"
+        f"| {max_counted} of {allowed_requests(load.limit_per_s):.0f} "
+        f"| {used:.2f} | {in_time:.3f} | {refused:.3f} |"
     )
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -21,7 +21,7 @@
 from tools import deployment
 from tools import process_cost
 
-__all__ = ["Load", "Measured", "main", "measure"]
+__all__ = ["Load", "Measurement", "main", "measure"]
 
 BYTES_PER_MIB = 1 << 20
 
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Measured:
+class Measurement:
     """Measurements of one load.
 
     Attributes:
@@ -177,7 +177,7 @@
 
 def measure(
     urls: list[str], pid: int | None, load: Load, seconds: float
-) -> Measured:
+) -> Measurement:
     """Runs a load against some URLs and measures it.
 
     Args:
@@ -205,7 +205,7 @@
     cpu_s = process_cost.cpu_s(pid) - cpu_s if pid else 0.0
     after = _totals(callers)
     thread.join()
-    return Measured(
+    return Measurement(
         wall_s,
         cpu_s,
         after[0] - before[0],
@@ -220,7 +220,7 @@
     return requests, sum(caller.chunks for caller in callers)
 
 
-def _row(name: str, route: str, measured: Measured) -> str:
+def _row(name: str, route: str, measured: Measurement) -> str:
     per_chunk = "-"
     if measured.chunks:
         per_chunk = f"{1e6 * measured.cpu_s / measured.chunks:.0f}"
--- a/benchmarks/results.py
+++ b/benchmarks/results.py
@@ -56,9 +56,9 @@
         cached_share: Part of all prompt tokens found in an engine's cache.
         fetched_share: Part fetched from the cache of another engine.
         crashes: Crashes of endpoints.
-        innocents_lost: Harmless requests that ended in an error after the
+        harmless_failed: Harmless requests that ended in an error after the
             first crash.
-        innocents_quarantined: Harmless requests marked as crashing.
+        harmless_quarantined: Harmless requests marked as crashing.
         most_over_limit: Most concurrent requests above an endpoint's limit.
     """
 
@@ -70,8 +70,8 @@
     cached_share: float = 0.0
     fetched_share: float = 0.0
     crashes: float = 0
-    innocents_lost: float = 0
-    innocents_quarantined: float = 0
+    harmless_failed: float = 0
+    harmless_quarantined: float = 0
     most_over_limit: float = 0
 
     @property
--- a/benchmarks/scaling.py
+++ b/benchmarks/scaling.py
@@ -19,7 +19,7 @@
 from cardamombarrow.duties import ordering
 from cardamombarrow.kernel import ids
 
-__all__ = ["PATTERNS", "WAYS", "Result", "main", "play"]
+__all__ = ["PATTERNS", "SCALERS", "Result", "main", "simulate"]
 
 STEP_S = 0.5
 LENGTH_S = 60.0
@@ -51,24 +51,24 @@
     Attributes:
         factor: Factor of the base load, by time.
         reclaimed: Number of domains whose reclaimable endpoints are removed
-            at `AT_S`.
-        dry: Number of domains that refuse new reclaimable endpoints for
-            `DRY_S` from `AT_S` on; all domains always do if it is negative.
+            at `EVENT_S`.
+        refusing: Number of domains that refuse new reclaimable endpoints for
+            `REFUSING_S` from `EVENT_S` on; if negative, all always do.
         lost: Whether the first orders get no answer and take effect late.
     """
 
     factor: abc.Callable[[float], float] = lambda _: 1.0
     reclaimed: int = 0
-    dry: int = 0
+    refusing: int = 0
     lost: bool = False
 
 
-AT_S = 20.0
-DRY_S = 8.0
+EVENT_S = 20.0
+REFUSING_S = 8.0
 
 
 def _burst(height: float) -> abc.Callable[[float], float]:
-    return lambda now_s: height if AT_S <= now_s < AT_S + 6.0 else 1.0
+    return lambda now_s: height if EVENT_S <= now_s < EVENT_S + 6.0 else 1.0
 
 
 PATTERNS = {
@@ -77,13 +77,13 @@
     "burst x1.7": Pattern(_burst(1.7)),
     "burst x4": Pattern(_burst(4.0)),
     "a domain reclaimed": Pattern(reclaimed=1),
-    "a domain, none anywhere": Pattern(reclaimed=1, dry=6),
-    "all reclaimed, none anywhere": Pattern(reclaimed=6, dry=6),
+    "a domain, none anywhere": Pattern(reclaimed=1, refusing=6),
+    "all reclaimed, none anywhere": Pattern(reclaimed=6, refusing=6),
     "orders late": Pattern(lost=True),
-    "none ever": Pattern(dry=-6),
+    "none ever": Pattern(refusing=-6),
 }
 
-WAYS: dict[str, type[scaling.Scaler]] = {
+SCALERS: dict[str, type[scaling.Scaler]] = {
     "never orders": scaling.Unchanged,
     "target utilisation": scaling.TargetUtilisation,
     "trend ahead": scaling.TrendAhead,
@@ -125,17 +125,19 @@
         return base.Outcome.TAKEN
 
     def _refuses_spot(self, domain: ids.DomainId) -> bool:
-        if self._pattern.dry < 0:
+        if self._pattern.refusing < 0:
             return True
-        dry = DOMAINS[: self._pattern.dry]
-        return domain in dry and AT_S <= self.now_s < AT_S + DRY_S
+        refusing = DOMAINS[: self._pattern.refusing]
+        return (
+            domain in refusing and EVENT_S <= self.now_s < EVENT_S + REFUSING_S
+        )
 
     def step(self) -> None:
         before_s, self.now_s = self.now_s, self.now_s + STEP_S
         for due in [d for d in self._due if d[0] <= self.now_s]:
             self._due.remove(due)
             self.counts[due[1]] = due[2]
-        if before_s < AT_S <= self.now_s:
+        if before_s < EVENT_S <= self.now_s:
             for domain in DOMAINS[: self._pattern.reclaimed]:
                 self.counts[domain, True] = 0
 
@@ -158,9 +160,13 @@
         )
 
 
-def play(way: type[scaling.Scaler], pattern: Pattern) -> Result:
+def simulate(scaler_type: type[scaling.Scaler], pattern: Pattern) -> Result:
     """Simulates one pattern with one scaler."""
-    platform, scaler, orders = _Platform(pattern), way(), ordering.Ordering()
+    platform, scaler, orders = (
+        _Platform(pattern),
+        scaler_type(),
+        ordering.Ordering(),
+    )
     observed: list[tuple[float, dict]] = []
     late = offered = price = 0.0
     calls = 0
@@ -177,19 +183,19 @@
         observation = observed[
             max(len(observed) - 1 - int(OBSERVATION_DELAY_S / STEP_S), 0)
         ]
-        calls += _order(way, scaler, orders, platform, observation)
+        calls += _order(scaler_type, scaler, orders, platform, observation)
     return Result(late / offered, price, calls)
 
 
 def _order(
-    way: type[scaling.Scaler],
+    scaler_type: type[scaling.Scaler],
     scaler: scaling.Scaler,
     orders: ordering.Ordering,
     platform: _Platform,
     observed: tuple[float, dict[ids.DomainId, ordering.Fleet]],
 ) -> int:
     load, fleets = observed
-    if way is scaling.Unchanged:
+    if scaler_type is scaling.Unchanged:
         return 0
     share = scaling.DomainDemand(load / len(DOMAINS), 0.0)
     present = {d: max(f.spot, f.regular) for d, f in fleets.items()}
@@ -205,12 +211,12 @@
 
 def main() -> None:
     """Prints late share, price and orders by pattern and scaler."""
-    print("| pattern | " + " | ".join(WAYS) + " |")
-    print("| --- |" + " --- |" * len(WAYS))
+    print("| pattern | " + " | ".join(SCALERS) + " |")
+    print("| --- |" + " --- |" * len(SCALERS))
     for name, pattern in PATTERNS.items():
         cells = []
-        for way in WAYS.values():
-            result = play(way, pattern)
+        for scaler_type in SCALERS.values():
+            result = simulate(scaler_type, pattern)
             cells.append(
                 f"{result.late_share:.3f}, {result.price:.0f}, {result.orders}"
             )
--- a/cardamombarrow/decisions/tests/test_endpoint_overload.py
+++ b/cardamombarrow/decisions/tests/test_endpoint_overload.py
@@ -97,7 +97,7 @@
 def _crashing_request(result: results.Result) -> bool:
     # Two requests crash each engine that runs them, and are retried through
     # any entry, next to innocent requests.
-    none_quarantined = not result.innocents_quarantined
+    none_quarantined = not result.harmless_quarantined
     return result.crashes <= 6 and none_quarantined
 
 
--- a/cardamombarrow/decisions/tests/test_limit_over_domains.py
+++ b/cardamombarrow/decisions/tests/test_limit_over_domains.py
@@ -19,8 +19,10 @@
 ):
     # Guards against placement by cost alone on a rate-limited endpoint.
     load = rate_limits.Load(domains, 4 * domains, limit_per_s)
-    simulation = rate_limits.World(load, seed).run()
-    assert simulation.most_in_window() <= rate_limits.allowed(limit_per_s)
+    simulation = rate_limits.Simulation(load, seed).run()
+    assert simulation.max_in_window() <= rate_limits.allowed_requests(
+        limit_per_s
+    )
 
 
 @pytest.mark.parametrize(
@@ -32,13 +34,15 @@
     load = rate_limits.Load(
         domains, 0, limit_per_s, 2 * domains, 4.0 * limit_per_s * domains + 5.0
     )
-    simulation = rate_limits.World(load, 1).run()
-    assert simulation.most_in_window() <= rate_limits.allowed(limit_per_s)
+    simulation = rate_limits.Simulation(load, 1).run()
+    assert simulation.max_in_window() <= rate_limits.allowed_requests(
+        limit_per_s
+    )
 
 
 def test_most_of_a_limit_is_used_when_every_endpoint_has_one():
     # Guards against compliance by sending nothing.
     load = rate_limits.Load(3, 0, 2.0, 12, 30.0)
-    simulation = rate_limits.World(load, 1).run()
+    simulation = rate_limits.Simulation(load, 1).run()
     limited_s = rate_limits.END_S - rate_limits.STATED_FROM_S
     assert simulation.sent >= 0.6 * load.limit_per_s * load.limited * limited_s
--- a/cardamombarrow/decisions/tests/test_overload.py
+++ b/cardamombarrow/decisions/tests/test_overload.py
@@ -130,8 +130,8 @@
                 self._break(f"rank {rank} gave way to nobody above it")
         super()._preempt(flight)
 
-    def _first(self, flight) -> None:
-        super()._first(flight)
+    def _first_token(self, flight) -> None:
+        super()._first_token(flight)
         job = flight.job
         key = (job.class_id, job.workspace == HOT)
         self._watch.admitted[key] += 1
--- a/cardamombarrow/decisions/tests/test_scaling_patterns.py
+++ b/cardamombarrow/decisions/tests/test_scaling_patterns.py
@@ -4,7 +4,7 @@
 
 from benchmarks import scaling
 
-_OURS = scaling.WAYS["target utilisation"]
+_OURS = scaling.SCALERS["target utilisation"]
 
 
 @pytest.mark.parametrize(
@@ -13,23 +13,23 @@
 )
 def test_what_a_day_brings_makes_nothing_late(pattern):
     # Guards against savings that callers pay for.
-    assert scaling.play(_OURS, scaling.PATTERNS[pattern]).late_share == 0.0
+    assert scaling.simulate(_OURS, scaling.PATTERNS[pattern]).late_share == 0.0
 
 
 def test_a_domain_without_any_to_be_had_makes_nothing_late():
-    found = scaling.play(_OURS, scaling.PATTERNS["a domain, none anywhere"])
+    found = scaling.simulate(_OURS, scaling.PATTERNS["a domain, none anywhere"])
     assert found.late_share == 0.0
 
 
 @pytest.mark.parametrize("pattern", list(scaling.PATTERNS))
 def test_nothing_costs_more_than_what_never_orders(pattern):
-    never = scaling.WAYS["never orders"]
-    kept = scaling.play(_OURS, scaling.PATTERNS[pattern])
-    before = scaling.play(never, scaling.PATTERNS[pattern])
+    never = scaling.SCALERS["never orders"]
+    kept = scaling.simulate(_OURS, scaling.PATTERNS[pattern])
+    before = scaling.simulate(never, scaling.PATTERNS[pattern])
     assert kept.price <= before.price
 
 
 def test_a_trend_drawn_on_is_late_in_a_wave():
     # The way that was not kept fails the same check.
-    way = scaling.WAYS["trend ahead"]
-    assert scaling.play(way, scaling.PATTERNS["wave"]).late_share > 0.1
+    way = scaling.SCALERS["trend ahead"]
+    assert scaling.simulate(way, scaling.PATTERNS["wave"]).late_share > 0.1
--- a/cardamombarrow/placing/tests/test_many_entries.py
+++ b/cardamombarrow/placing/tests/test_many_entries.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from benchmarks import asked_driver
 from benchmarks import many_entries
+from benchmarks import placer_driver
 
 SEEDS = (0, 1, 2)
 
@@ -21,7 +21,7 @@
 """Minimum share of first events in time."""
 
 
-class _CountingDriver(asked_driver.AskedDriver):
+class _CountingDriver(placer_driver.PlacerDriver):
     """Counts how often each request is on engines at the same time."""
 
     def __init__(self, scenario, seed):
@@ -54,7 +54,7 @@
         if scenario.asked:
             driver = _CountingDriver(scenario, seed)
         else:
-            driver = asked_driver.make(scenario, seed)
+            driver = placer_driver.make(scenario, seed)
         results.append(driver.run())
         drivers.append(driver)
     return drivers, results
