--- a/benchmarks/scaling.py
+++ b/benchmarks/scaling.py
@@ -1,9 +1,10 @@
-"""Ways to decide on the number of endpoints, over patterns of work.
+"""Compares ways to choose the number of endpoints over load patterns.
 
-Virtual time: the decisions and orders are the real ones; the platform, with
-its starts, reclaims and refusals, and the work are models. Work is late in the
-measure in which reading takes more than half of the endpoints' time, and all
-of it where it takes all: a stand-in for queues, the same for every way.
+Runs the real decisions and orders in virtual time against a model of the load
+and of a platform that starts, reclaims and refuses endpoints. Queues are
+approximated in the same way for each scaler: the late share of the work grows
+linearly from 0, where prefill takes half of the endpoints' time, to 1, where
+it takes all of it.
 
     python -m benchmarks.scaling
 """
@@ -18,19 +19,19 @@
 from cardamombarrow.duties import order_planner
 from cardamombarrow.kernel import ids
 
-__all__ = ["PATTERNS", "WAYS", "Result", "main", "play"]
+__all__ = ["PATTERNS", "SCALERS", "Result", "main", "simulate"]
 
 STEP_S = 0.5
 LENGTH_S = 60.0
-LEAD_S = 12.0
-CALM = 4.8
-"""Endpoints kept busy by reading, in calm."""
+LEAD_TIME_S = 12.0
+BASE_LOAD = 4.8
+"""Endpoints that prefill occupies at the base load."""
 
 REGULAR = 5
-"""Endpoints of the dearer kind in each domain at the start."""
+"""Endpoints of the regular, more expensive kind in each domain at the start."""
 
-KNOWN_AFTER_S = 2.0
-"""Age of what is known of demand and of the list."""
+OBSERVATION_DELAY_S = 2.0
+"""Age of the demand and the endpoint list that a decision uses."""
 
 DOMAINS = [ids.DomainId(name) for name in "abcdef"]
 SERVICE = schema.Service(
@@ -45,27 +46,29 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pattern:
-    """What happens in a play.
+    """Load and platform faults of a simulation.
 
     Attributes:
-        factor: Times the calm load, by time.
-        reclaimed: Domains whose reclaimable endpoints go at `AT_S`.
-        dry: Domains in which no more are to be had for `DRY_S` from then.
-        lost: Whether the first orders get no answer and are carried out late.
+        factor: Factor of the base load, by time.
+        reclaimed: Number of domains whose reclaimable endpoints are removed
+            at `EVENT_S`.
+        refusing: Number of domains that refuse new reclaimable endpoints for
+            `REFUSING_S` from `EVENT_S` on; if negative, all always do.
+        lost: Whether the first orders get no answer and take effect late.
     """
 
     factor: abc.Callable[[float], float] = lambda _: 1.0
     reclaimed: int = 0
-    dry: int = 0
+    refusing: int = 0
     lost: bool = False
 
 
-AT_S = 20.0
-DRY_S = 8.0
+EVENT_S = 20.0
+REFUSING_S = 8.0
 
 
 def _burst(height: float) -> abc.Callable[[float], float]:
-    return lambda now_s: height if AT_S <= now_s < AT_S + 6.0 else 1.0
+    return lambda now_s: height if EVENT_S <= now_s < EVENT_S + 6.0 else 1.0
 
 
 PATTERNS = {
@@ -74,13 +77,13 @@
     "burst x1.7": Pattern(_burst(1.7)),
     "burst x4": Pattern(_burst(4.0)),
     "a domain reclaimed": Pattern(reclaimed=1),
-    "a domain, none anywhere": Pattern(reclaimed=1, dry=6),
-    "all reclaimed, none anywhere": Pattern(reclaimed=6, dry=6),
+    "a domain, none anywhere": Pattern(reclaimed=1, refusing=6),
+    "all reclaimed, none anywhere": Pattern(reclaimed=6, refusing=6),
     "orders late": Pattern(lost=True),
-    "none ever": Pattern(dry=-6),
+    "none ever": Pattern(refusing=-6),
 }
 
-WAYS: dict[str, type[scaling.Scaler]] = {
+SCALERS: dict[str, type[scaling.Scaler]] = {
     "never orders": scaling.StaticScaler,
     "target utilisation": scaling.TargetUtilisation,
     "trend ahead": scaling.TrendExtrapolation,
@@ -89,12 +92,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """What a play came to.
+    """Result of a simulation.
 
     Attributes:
         late_share: Part of the work that is late.
-        price: What the endpoints cost, in seconds of one of price 1.
-        orders: Calls made.
+        price: Cost of the endpoints, in endpoint seconds at a price of 1.
+        orders: Number of calls to the platform.
     """
 
     late_share: float
@@ -105,34 +108,36 @@
 class _Platform:
     def __init__(self, pattern: Pattern):
         self._pattern = pattern
-        self.now_s = -LEAD_S
+        self.now_s = -LEAD_TIME_S
         self.counts = {(d, False): REGULAR for d in DOMAINS}
         self._due: list[tuple[float, tuple[ids.DomainId, bool], int]] = []
 
     def take(self, call: base.EndpointOrder) -> base.Outcome:
         key = call.domain, call.spot
-        more = call.count > self.counts.get(key, 0)
-        if more and call.spot and self._is_dry(call.domain):
+        adds_endpoints = call.count > self.counts.get(key, 0)
+        if adds_endpoints and call.spot and self._refuses_spot(call.domain):
             return base.Outcome.REFUSED
-        late_s = SERVICE.scaling.boot_s if more else 0.0
-        if self._pattern.lost and self.now_s < -LEAD_S + 2.0:
-            self._due.append((self.now_s + 6.0 + late_s, key, call.count))
+        delay_s = SERVICE.scaling.boot_s if adds_endpoints else 0.0
+        if self._pattern.lost and self.now_s < -LEAD_TIME_S + 2.0:
+            self._due.append((self.now_s + 6.0 + delay_s, key, call.count))
             return base.Outcome.UNKNOWN
-        self._due.append((self.now_s + late_s, key, call.count))
+        self._due.append((self.now_s + delay_s, key, call.count))
         return base.Outcome.TAKEN
 
-    def _is_dry(self, domain: ids.DomainId) -> bool:
-        if self._pattern.dry < 0:
+    def _refuses_spot(self, domain: ids.DomainId) -> bool:
+        if self._pattern.refusing < 0:
             return True
-        dry = DOMAINS[: self._pattern.dry]
-        return domain in dry and AT_S <= self.now_s < AT_S + DRY_S
+        refusing = DOMAINS[: self._pattern.refusing]
+        return (
+            domain in refusing and EVENT_S <= self.now_s < EVENT_S + REFUSING_S
+        )
 
     def step(self) -> None:
         before_s, self.now_s = self.now_s, self.now_s + STEP_S
         for due in [d for d in self._due if d[0] <= self.now_s]:
             self._due.remove(due)
             self.counts[due[1]] = due[2]
-        if before_s < AT_S <= self.now_s:
+        if before_s < EVENT_S <= self.now_s:
             for domain in DOMAINS[: self._pattern.reclaimed]:
                 self.counts[domain, True] = 0
 
@@ -146,47 +151,51 @@
         }
 
     def price(self) -> float:
-        found = SERVICE.scaling
+        settings = SERVICE.scaling
         return sum(
-            count * found.prices[domain] * (found.spot_price if spot else 1.0)
+            count
+            * settings.prices[domain]
+            * (settings.spot_price if spot else 1.0)
             for (domain, spot), count in self.counts.items()
         )
 
 
-def play(way: type[scaling.Scaler], pattern: Pattern) -> Result:
-    """Plays one pattern with one way."""
+def simulate(scaler_type: type[scaling.Scaler], pattern: Pattern) -> Result:
+    """Simulates one pattern with one scaler."""
     platform, scaler, orders = (
         _Platform(pattern),
-        way(),
+        scaler_type(),
         order_planner.OrderPlanner(),
     )
-    known: list[tuple[float, dict]] = []
-    late = asked = price = 0.0
+    observed: list[tuple[float, dict]] = []
+    late = offered = price = 0.0
     calls = 0
     while platform.now_s < LENGTH_S:
         platform.step()
         now_s = platform.now_s
-        load = CALM * pattern.factor(now_s) if now_s >= 0 else 0.0
+        load = BASE_LOAD * pattern.factor(now_s) if now_s >= 0 else 0.0
         ready = sum(f.spot + f.regular for f in platform.fleets().values())
-        used = load / ready if ready else 1.0
-        late += load * min(max(2 * used - 1, 0.0), 1.0) * STEP_S
-        asked += load * STEP_S
+        utilisation = load / ready if ready else 1.0
+        late += load * min(max(2 * utilisation - 1, 0.0), 1.0) * STEP_S
+        offered += load * STEP_S
         price += platform.price() * STEP_S
-        known.append((load, platform.fleets()))
-        then = known[max(len(known) - 1 - int(KNOWN_AFTER_S / STEP_S), 0)]
-        calls += _order(way, scaler, orders, platform, then)
-    return Result(late / asked, price, calls)
+        observed.append((load, platform.fleets()))
+        observation = observed[
+            max(len(observed) - 1 - int(OBSERVATION_DELAY_S / STEP_S), 0)
+        ]
+        calls += _order(scaler_type, scaler, orders, platform, observation)
+    return Result(late / offered, price, calls)
 
 
 def _order(
-    way: type[scaling.Scaler],
+    scaler_type: type[scaling.Scaler],
     scaler: scaling.Scaler,
     orders: order_planner.OrderPlanner,
     platform: _Platform,
-    known: tuple[float, dict[ids.DomainId, order_planner.Fleet]],
+    observed: tuple[float, dict[ids.DomainId, order_planner.Fleet]],
 ) -> int:
-    load, fleets = known
-    if way is scaling.StaticScaler:
+    load, fleets = observed
+    if scaler_type is scaling.StaticScaler:
         return 0
     share = scaling.DomainDemand(load / len(DOMAINS), 0.0)
     present = {d: max(f.spot, f.regular) for d, f in fleets.items()}
@@ -201,15 +210,15 @@
 
 
 def main() -> None:
-    """Prints a table: late share, price and orders by pattern and way."""
-    print("| pattern | " + " | ".join(WAYS) + " |")
-    print("| --- |" + " --- |" * len(WAYS))
+    """Prints late share, price and orders by pattern and scaler."""
+    print("| pattern | " + " | ".join(SCALERS) + " |")
+    print("| --- |" + " --- |" * len(SCALERS))
     for name, pattern in PATTERNS.items():
         cells = []
-        for way in WAYS.values():
-            found = play(way, pattern)
+        for scaler_type in SCALERS.values():
+            result = simulate(scaler_type, pattern)
             cells.append(
-                f"{found.late_share:.3f}, {found.price:.0f}, {found.orders}"
+                f"{result.late_share:.3f}, {result.price:.0f}, {result.orders}"
             )
         print(f"| {name} | " + " | ".join(cells) + " |")
 
