--- a/cardamombarrow/tests/test_duties.py
+++ b/cardamombarrow/tests/test_duties.py
@@ -1,4 +1,7 @@
-"""Usage over real processes: counted at entries, reported by one holder."""
+"""Usage counted by entries and reported by one duty holder.
+
+Runs real processes.
+"""
 
 import collections
 import json
@@ -16,7 +19,7 @@
 NAMES = ("control-1", "control-2", "control-3")
 DOMAINS = ("nuwara-a", "badulla-a", "ratnapura-a")
 WINDOW_S = 1.0
-REPORTED_S = 25.0
+REPORT_TIMEOUT_S = 25.0
 """Time for an election, a lease and a report."""
 
 
@@ -40,16 +43,16 @@
         yield started
 
 
-def _calls(running):
+def _usage_calls(running):
     url = running.listing_url.replace("/v1/listing", "/standin/calls")
     found = json.loads(http_get.fetch(url, timeout_s=5.0).body)
     return [call for call in found if call["path"] == "/v1/usage"]
 
 
 def _reported(running):
-    """Returns requests by workspace; checks that no window has two reports."""
+    """Returns requests by workspace; checks that reports of a window agree."""
     windows = {}
-    for call in _calls(running):
+    for call in _usage_calls(running):
         first = windows.setdefault(call["window"], call["counts"])
         assert first == call["counts"]
     total = collections.Counter()
@@ -66,22 +69,24 @@
         assert answer.status == 200
 
 
-def test_usage_is_whole_across_the_loss_of_the_holder(running):
-    # Guards against counts that go with the control process that reports.
-    assert deployment.wait_until(lambda: bool(_calls(running)))
+def test_usage_is_complete_after_the_holder_is_lost(running):
+    # Guards against losing counts together with the control process that
+    # reports them.
+    assert deployment.wait_until(lambda: bool(_usage_calls(running)))
     _send(running, "entry-1", 5)
     _send(running, "entry-2", 3)
-    holder = _calls(running)[-1]["holder"]
+    holder = _usage_calls(running)[-1]["holder"]
     running.signal(holder, signal.SIGKILL)
     _send(running, "entry-1", 4)
     assert deployment.wait_until(
-        lambda: _reported(running)["race-control"] >= 12, REPORTED_S
+        lambda: _reported(running)["race-control"] >= 12, REPORT_TIMEOUT_S
     )
     time.sleep(2 * WINDOW_S)
     assert _reported(running) == {"race-control": 12}
-    tokens = {}
-    for call in _calls(running):
+    holders = {}
+    for call in _usage_calls(running):
         assert (
-            tokens.setdefault(call["token"], call["holder"]) == (call["holder"])
+            holders.setdefault(call["token"], call["holder"])
+            == (call["holder"])
         )
-    assert len(set(tokens.values())) == 2
+    assert len(set(holders.values())) == 2
--- a/cardamombarrow/tests/test_imports.py
+++ b/cardamombarrow/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Rules on imports that keep the subpackages apart."""
+"""Import rules: whole modules only, and limited dependencies."""
 
 import ast
 import importlib.util
@@ -12,7 +12,7 @@
     for path in _PACKAGE.rglob("*.py")
     if not path.name.endswith(("_pb2.py", "_grpc.py"))
 )
-_ALLOWED = {
+_ALLOWED_IMPORTS = {
     "decisions": ("decisions", "kernel", "document.schema"),
     "log": ("log", "kernel", "peers"),
 }
@@ -39,9 +39,11 @@
         assert spec is not None, f"{path}: from {package} import {name}"
 
 
-@pytest.mark.parametrize("subpackage", _ALLOWED)
-def test_subpackage_imports_only_what_it_may(subpackage):
-    allowed = tuple(f"cardamombarrow.{name}" for name in _ALLOWED[subpackage])
+@pytest.mark.parametrize("subpackage", _ALLOWED_IMPORTS)
+def test_subpackage_imports_only_allowed_modules(subpackage):
+    allowed = tuple(
+        f"cardamombarrow.{name}" for name in _ALLOWED_IMPORTS[subpackage]
+    )
     for path in (_PACKAGE / subpackage).glob("*.py"):
         for package, name in _imported(path):
             if package.startswith("cardamombarrow"):
--- a/cardamombarrow/tests/test_once.py
+++ b/cardamombarrow/tests/test_once.py
@@ -1,4 +1,7 @@
-"""Unrepeatable calls, resent through another entry, run at most once."""
+"""Unrepeatable calls that are resent through another entry.
+
+Each must run at most once.
+"""
 
 from concurrent import futures
 import signal
@@ -15,7 +18,7 @@
 
 @pytest.fixture(scope="module")
 def running(kandula_text, tmp_path_factory):
-    """Two entries, links proxied."""
+    """Two entries and a control process, with proxied links."""
     plan = deployment.Plan(
         document=kandula_text,
         entries={"nuwara-a": ["entry-1"], "badulla-a": ["entry-2"]},
@@ -49,10 +52,9 @@
 
 
 def test_entry_killed_during_the_call(running):
-    # A groomer signs off a pass. The entry dies while the service works on
-    # it, so nobody hears the outcome. The phone sends it again through
-    # another entry: it must not be signed off twice, and the groomer must
-    # not be told for ever that it is under way.
+    # The entry is killed while the service runs an unrepeatable call, so its
+    # outcome is unknown. A resend through another entry must not run it a
+    # second time, and must not be answered as in flight forever.
     for address in running.engines["trail-desk"]:
         control.behave(address, token_s=1.0)
     with futures.ThreadPoolExecutor() as pool:
@@ -76,18 +78,18 @@
 
 
 def test_entry_killed_after_the_call(running):
-    # The entry dies right after it answered; the phone, which lost the
-    # answer, gets the same one from another entry.
+    # The entry is killed right after it answered. A resend through another
+    # entry gets the same answer.
     first = _sign_off(running, "entry-1", "after")
     _kill_and_restart(running, "entry-1")
-    again = _sign_off(running, "entry-2", "after")
-    assert (first.status, first.body) == (again.status, again.body)
+    resent = _sign_off(running, "entry-2", "after")
+    assert (first.status, first.body) == (resent.status, resent.body)
     assert first.status == 200
     assert len(_runs(running, "after")) == 1
 
 
 def test_entry_killed_before_the_call(running):
-    # The entry dies before the call reaches it; a resend runs.
+    # The entry is killed before it receives the call. A resend must run.
     running.signal("entry-1", signal.SIGKILL)
     running.processes["entry-1"].wait()
     with pytest.raises(errors.EndpointError):
@@ -99,10 +101,10 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "silent"])
-def test_no_quorum_in_reach_means_not_run(running, fault):
-    # The entry loses the control processes. It tells the groomer that the
-    # pass was not signed off, which must be true; and once they are back,
-    # the same key must go through instead of being under way for ever.
+def test_call_is_not_run_without_a_reachable_quorum(running, fault):
+    # The entry loses the control processes and answers that the call did not
+    # run, which must be true. Once the links are restored, the same key must be
+    # accepted instead of staying in flight forever.
     links = running.proxy.between({"entry-1"}, {"control-1"})
     for link in links:
         link.cut() if fault == "cut" else link.silence(new_too=True)
@@ -119,10 +121,10 @@
     assert len(_runs(running, fault)) == 1
 
 
-def test_answer_of_the_claim_is_lost(running):
-    # The control process commits the claim but its answer never arrives: the
-    # link goes silent. The entry tells the caller that nothing ran; the claim
-    # stands in the ledger all the same, until the entry withdraws it.
+def test_claim_whose_answer_is_lost_is_withdrawn(running):
+    # The control process commits the claim, but its answer arrives too late.
+    # The entry answers that the call did not run. The claim stays in the ledger
+    # until the entry withdraws it.
     for link in running.proxy.between({"entry-1"}, {"control-1"}):
         link.delay_s = 5.0
     answer = _sign_off(running, "entry-1", "lost")
--- a/cardamombarrow/tests/test_operators.py
+++ b/cardamombarrow/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators who race, resend and overstep, with real processes."""
+"""Concurrent, resent and unauthorized edits, with real processes."""
 
 import json
 import os
@@ -10,12 +10,12 @@
 pytestmark = pytest.mark.process
 
 
-def _edit(kandula, folder, text, *more, token="sales-token"):
+def _edit(kandula, folder, text, *options, token="sales-token"):
     path = folder / "edit.ini"
     path.write_text(text)
     command = (sys.executable, "-m", "cardamombarrow", "config", "edit")
     return subprocess.run(
-        [*command, str(path), *more],
+        [*command, str(path), *options],
         capture_output=True,
         text=True,
         env={
@@ -26,10 +26,12 @@
     )
 
 
-def test_of_two_edits_from_one_revision_one_wins(kandula, tmp_path):
-    # Two operators look at the same revision and both change one section.
-    # The slower one must be told, and shown the text that won; if both were
-    # accepted the first one's promise to a customer would be lost silently.
+def test_second_edit_of_a_section_from_one_revision_conflicts(
+    kandula, tmp_path
+):
+    # Two operators start from the same revision and change the same section.
+    # The second edit must be refused with the text that was accepted; otherwise
+    # the first change would be lost silently.
     base = ("--base", "1")
     first = _edit(
         kandula, tmp_path, "[tier:digest]\nrank = 2\nreserved_share=0.2", *base
@@ -43,23 +45,23 @@
     assert "reserved_share=0.2" in conflicts["tier:digest"]
 
 
-def test_a_resent_edit_gets_the_first_answer(kandula, tmp_path):
-    # The answer to an edit is lost and the operator sends it again. Done
-    # twice it would count as a second change, or conflict with itself.
+def test_resent_edit_gets_the_first_answer(kandula, tmp_path):
+    # The answer to an edit is lost and the operator sends it again. Applied
+    # twice, it would count as a second change or conflict with itself.
     text = "[tier:desk]\nrank = 1\nreserved_share = 0.15\n"
-    more = ("--base", "1", "--edit-id", "edit-1")
-    first, again = (_edit(kandula, tmp_path, text, *more) for _ in range(2))
-    assert first.returncode == again.returncode == 0
-    assert json.loads(first.stdout) == json.loads(again.stdout)
+    options = ("--base", "1", "--edit-id", "edit-1")
+    first, resent = (_edit(kandula, tmp_path, text, *options) for _ in range(2))
+    assert first.returncode == resent.returncode == 0
+    assert json.loads(first.stdout) == json.loads(resent.stdout)
 
 
-def test_a_team_cannot_edit_another_teams_sections(kandula, tmp_path):
+def test_owner_cannot_edit_another_owners_sections(kandula, tmp_path):
     result = _edit(kandula, tmp_path, "[policies]\nchoice = round-robin\n")
     assert result.returncode == 3
     assert "sales may not edit [policies]" in result.stdout
 
 
-def test_an_invalid_edit_is_told_and_changes_nothing(kandula, tmp_path):
+def test_invalid_edit_is_refused(kandula, tmp_path):
     result = _edit(kandula, tmp_path, "[class:runner-question]\ntier = x\n")
     assert result.returncode == 3
     assert "required key is missing" in result.stdout
@@ -79,14 +81,14 @@
     )
 
 
-def test_a_whole_document_is_pushed_once_whatever_the_order(kandula, tmp_path):
-    # An operator keeps the whole document elsewhere and loses answers; the
-    # same file comes again, and an older one late. The highest number holds.
+def test_document_pushed_with_highest_number_wins(kandula, tmp_path):
+    # The same document document is pushed again after a lost answer, and an older
+    # one arrives late. The document with the highest number must stay.
     path = tmp_path / "document.ini"
-    whole = _config(kandula, "get").stdout
+    document = _config(kandula, "get").stdout
     statuses = []
     for number in (7, 7, 5):
-        path.write_text(f"# number {number}\n{whole}")
+        path.write_text(f"# number {number}\n{document}")
         pushed = _config(kandula, "push", str(path), "--number", str(number))
         assert pushed.returncode == 0, pushed.stderr
         statuses.append(json.loads(pushed.stdout)["status"])
@@ -94,7 +96,7 @@
     assert _config(kandula, "get").stdout.startswith("# number 7\n")
 
 
-def test_a_team_without_all_rights_cannot_push(kandula, tmp_path):
+def test_owner_without_all_sections_cannot_push(kandula, tmp_path):
     path = tmp_path / "document.ini"
     path.write_text(_config(kandula, "get").stdout)
     arguments = ("push", str(path), "--number", "99")
--- a/cardamombarrow/tests/test_orders.py
+++ b/cardamombarrow/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, with real processes."""
+"""Orders to load and unload models, with real processes."""
 
 import json
 
@@ -33,36 +33,36 @@
     return json.loads(reply.body)
 
 
-def _loaded(address: str) -> set[str]:
+def _loaded_models(address: str) -> set[str]:
     models = _get(address, "/v1/models")["data"]
     return {item["id"] for item in models if item["state"] == "loaded"}
 
 
-def test_engines_are_told_to_load_one_after_another(rollout):
-    # A new version is named for five engines. Were all told at once, none
-    # would serve until the weight store had fed the last of them.
+def test_engines_load_a_new_version_one_at_a_time(rollout):
+    # A new version is assigned to five engines. If all loaded it at the same
+    # time, none would serve until the weight store had sent it to the last one.
     engines = rollout.engines["report-writer"]
-    seen_loading = 0
+    max_loading = 0
 
     def all_loaded() -> bool:
-        nonlocal seen_loading
+        nonlocal max_loading
         lists = [_get(address, "/v1/models")["data"] for address in engines]
         loading = sum(
             any(item["state"] == "loading" for item in models)
             for models in lists
         )
-        seen_loading = max(seen_loading, loading)
-        return all(_loaded(address) == {"v1"} for address in engines)
+        max_loading = max(max_loading, loading)
+        return all(_loaded_models(address) == {"v1"} for address in engines)
 
     assert deployment.wait_until(all_loaded, timeout_s=60)
-    assert seen_loading == 1
+    assert max_loading == 1
 
 
-def test_an_engine_that_checks_refuses_an_old_token(rollout):
-    # A control process that was frozen while another took over wakes up and
-    # sends what it had in mind. The engine must not obey it.
+def test_engine_refuses_an_old_fencing_token(rollout):
+    # A frozen control process resumes after another one took over and sends its
+    # pending orders. The engine must refuse them.
     engine = rollout.engines["report-writer"][0]
-    assert deployment.wait_until(lambda: bool(_loaded(engine)))
+    assert deployment.wait_until(lambda: bool(_loaded_models(engine)))
     order = {"kind": "unload", "artifact": "v1", "fencing": 0}
     reply = http_get.fetch(
         f"http://{engine}/v1/orders",
@@ -71,4 +71,4 @@
         body=json.dumps(order).encode(),
     )
     assert reply.status == 409
-    assert "v1" in _loaded(engine)
+    assert "v1" in _loaded_models(engine)
--- a/cardamombarrow/tests/test_path.py
+++ b/cardamombarrow/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: caller, entry, engine, control."""
+"""Requests from caller to engine and edits, with real processes."""
 
 import subprocess
 import sys
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("stream", [False, True])
-def test_completion_reaches_an_engine_and_comes_back_whole(kandula, stream):
+def test_completion_returns_complete_answer(kandula, stream):
     answer = caller.complete(
         kandula.entries["entry-1"],
         "race-control",
@@ -26,10 +26,10 @@
         assert answer.body.endswith(b"data: [DONE]\n\n")
 
 
-def test_unrepeatable_call_runs_once_and_is_answered_twice(kandula):
-    # A groomer's phone loses the answer to a sign-off and sends it again,
-    # through another entry; the pass must be signed off once.
-    first, again = (
+def test_resent_unrepeatable_call_gets_the_same_answer(kandula):
+    # A client loses the answer to an unrepeatable call and sends it again
+    # through another entry. The call must run only once.
+    first, resent = (
         caller.service(
             kandula.entries[entry],
             "groomers-north",
@@ -39,8 +39,8 @@
         )
         for entry in ("entry-1", "entry-3")
     )
-    assert first.status == again.status == 200
-    assert first.body == again.body
+    assert first.status == resent.status == 200
+    assert first.body == resent.body
 
 
 def test_unrepeatable_call_without_a_key_is_refused(kandula):
@@ -52,7 +52,7 @@
     assert answer.error["not_run"] is True
 
 
-def test_edit_comes_into_force_at_every_entry(kandula, tmp_path):
+def test_edit_takes_effect_at_every_entry(kandula, tmp_path):
     edit = tmp_path / "edit.ini"
     edit.write_text("[tier:race]\nrank = 0\nreserved_share = 0.2\n")
     command = [
--- a/cardamombarrow/tests/test_rate_limit.py
+++ b/cardamombarrow/tests/test_rate_limit.py
@@ -41,9 +41,9 @@
 """
 _LIMIT_PER_S = 1.0
 _WINDOW_S = 4.0
-_ALLOWED = 1.5 * _LIMIT_PER_S * _WINDOW_S + 5
-_LOAD_S = 8.0
-_EVERY_S = 0.1
+_MAX_RUNS_IN_WINDOW = 1.5 * _LIMIT_PER_S * _WINDOW_S + 5
+_LOAD_DURATION_S = 8.0
+_CALL_INTERVAL_S = 0.1
 
 
 @pytest.fixture(scope="module")
@@ -66,7 +66,7 @@
     ).body
 
 
-def _state(address, limit):
+def _set_rate_limit(address, limit):
     _fetch(
         address,
         "/standin/behaviour",
@@ -74,8 +74,8 @@
     )
 
 
-def _know_of(running, count):
-    """Tells whether every entry knows of so many limited endpoints."""
+def _all_entries_count(running, count):
+    """Returns whether every entry counts this many limited endpoints."""
     line = f"cardamombarrow_rate_limited_endpoints {count}\n".encode()
     texts = [
         http_get.fetch(f"{url}/metrics", timeout_s=5).body
@@ -88,58 +88,59 @@
     return caller.complete(url, "desk", model="pair").status
 
 
-def _ask_until(running, ask, count):
+def _call_until_counted(running, send, count):
     urls = itertools.cycle(running.entries.values())
 
-    def known():
-        ask(next(urls))
-        return _know_of(running, count)
+    def counted():
+        send(next(urls))
+        return _all_entries_count(running, count)
 
-    assert deployment.wait_until(known)
+    assert deployment.wait_until(counted)
 
 
-def _load(running):
+def _send_load(running):
     urls = itertools.cycle(running.entries.values())
-    asked = []
+    pending = []
     with futures.ThreadPoolExecutor(16) as pool:
-        end_s = time.monotonic() + _LOAD_S
+        end_s = time.monotonic() + _LOAD_DURATION_S
         while time.monotonic() < end_s:
-            asked.append(pool.submit(_complete, next(urls)))
-            time.sleep(_EVERY_S)
-    return [each.result() for each in asked]
+            pending.append(pool.submit(_complete, next(urls)))
+            time.sleep(_CALL_INTERVAL_S)
+    return [future.result() for future in pending]
 
 
-def test_entries_together_keep_a_stated_limit_until_it_ends(running):
-    # Guards against a limit that each entry keeps, or ignores, for itself.
+def test_entries_share_a_stated_limit_until_it_ends(running):
+    # Guards against each entry applying the whole limit on its own, or none.
     limited = running.engines["pair"][0]
-    _state(limited, str(_LIMIT_PER_S))
-    _ask_until(running, _complete, 1)
+    _set_rate_limit(limited, str(_LIMIT_PER_S))
+    _call_until_counted(running, _complete, 1)
     before = len(json.loads(_fetch(limited, "/standin/runs")))
-    statuses = _load(running)
+    statuses = _send_load(running)
     runs = json.loads(_fetch(limited, "/standin/runs"))[before:]
     at_s = [run["at_unix_s"] for run in runs]
     assert set(statuses) == {200}
     assert at_s
     assert (
-        max(sum(b <= s < b + _WINDOW_S for s in at_s) for b in at_s) <= _ALLOWED
+        max(sum(b <= s < b + _WINDOW_S for s in at_s) for b in at_s)
+        <= _MAX_RUNS_IN_WINDOW
     )
-    _state(limited, "")
-    _ask_until(running, _complete, 0)
+    _set_rate_limit(limited, "")
+    _call_until_counted(running, _complete, 0)
 
 
-def test_a_call_that_no_endpoint_takes_is_refused_at_once(running):
-    # Guards against callers who are held until their deadline.
+def test_call_without_an_available_endpoint_is_refused_at_once(running):
+    # Guards against holding callers until their deadline.
     limited = running.engines["shop"][0]
-    _state(limited, "0")
+    _set_rate_limit(limited, "0")
 
     def call(url):
         return caller.service(url, "desk", "shop/read", method="GET")
 
-    _ask_until(running, call, 1)
+    _call_until_counted(running, call, 1)
     answers = [call(url) for url in running.entries.values() for _ in range(3)]
-    refused = [each for each in answers if each.status != 200]
+    refused = [answer for answer in answers if answer.status != 200]
     assert refused
-    assert {each.status for each in refused} <= {429, 503}
-    assert all(each.error["not_run"] for each in refused)
-    assert all(each.error["retry_after_s"] for each in refused)
-    _state(limited, "")
+    assert {answer.status for answer in refused} <= {429, 503}
+    assert all(answer.error["not_run"] for answer in refused)
+    assert all(answer.error["retry_after_s"] for answer in refused)
+    _set_rate_limit(limited, "")
