--- a/cardamombarrow/tests/test_control_failures.py
+++ b/cardamombarrow/tests/test_control_failures.py
@@ -1,4 +1,4 @@
-"""Three control processes with real files, killed, frozen, cut off, emptied."""
+"""Three control processes that are killed, frozen or cut off, or lose disks."""
 
 import collections
 from concurrent import futures
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def running(group):
-    """The same processes, all alive and in reach of one another."""
+    """The same deployment, with all processes running and all links up."""
     for link in group.proxy.links.values():
         link.mend()
     for name in NAMES:
@@ -52,7 +52,7 @@
 
 
 class _Operator:
-    """Edits by way of the control processes that it is given."""
+    """Edits through the control processes named."""
 
     _numbers = itertools.count()
 
@@ -102,7 +102,7 @@
 
 
 def _edit_until_accepted(operator, share):
-    """Sends one edit, under the same id, until it is answered."""
+    """Sends one edit with the same id until it is answered."""
     edit_id = f"retried-{share}"
     for _ in range(20):
         try:
@@ -111,17 +111,16 @@
             continue
         if answer["status"] == "accepted":
             return answer["revision"]
-        # Sent again from a newer base under the same id; the first try was
-        # accepted and its answer lost.
+        # The first attempt was accepted and its answer lost; this one was sent
+        # with the same id and a newer base revision.
         assert answer["status"] == "id_reused"
         return answer["revision"]
     raise AssertionError("no edit was accepted")
 
 
-def test_edits_survive_a_killed_leader(running):
-    # The leading control process is killed while operators edit. Whoever was
-    # told that an edit is accepted finds it in every later read, wherever
-    # it is asked for.
+def test_accepted_edits_survive_a_killed_leader(running):
+    # The leader is killed while operators edit. Every edit answered as accepted
+    # must be in every later read, from any control process.
     leader = _leader(running)
     others = [name for name in NAMES if name != leader]
     operator = _Operator(running, *others)
@@ -140,10 +139,9 @@
         assert "reserved_share = 0.12" in document["text"]
 
 
-def test_frozen_leader_accepts_nothing_when_it_goes_on(running):
-    # The leader's machine freezes for some seconds and then goes on as if
-    # nothing had been. Meanwhile another one leads; the old one must not
-    # accept an edit that the others don't know.
+def test_resumed_leader_accepts_no_conflicting_edit(running):
+    # The leader's process is frozen for some seconds while another one is
+    # elected. When it resumes, it must not accept an edit without the others.
     leader = _leader(running)
     others = [name for name in NAMES if name != leader]
     running.signal(leader, signal.SIGSTOP)
@@ -165,10 +163,10 @@
     assert len(texts) == 1
 
 
-def test_isolated_control_says_so_and_accepts_nothing(running):
-    # The network between one control process and the others goes silent
-    # without closing anything. Its operators must learn at once that nothing
-    # can be accepted there, and the other side goes on.
+def test_isolated_control_reports_no_quorum(running):
+    # Packets between the leader and the others are dropped without closing
+    # connections. The isolated leader must report at once that it can't accept
+    # edits, and the others must continue.
     leader = _leader(running)
     others = [name for name in NAMES if name != leader]
     links = running.proxy.between([leader], others)
@@ -193,36 +191,35 @@
     assert _log_of(running, _leader(running))["term"] == term
 
 
-def test_cut_of_one_link_is_gone_round(running):
-    # Two control processes lose each other while the third sees both. An
-    # operator at any of the three must still get edits accepted, and the
-    # three must not depose each other in turn.
+def test_edits_are_accepted_while_one_link_is_down(running):
+    # Two control processes can't reach each other while the third reaches both.
+    # Edits must still be accepted at all three, and the leader must not change.
     leader = _leader(running)
     other = next(name for name in NAMES if name != leader)
     for link in running.proxy.between([leader], [other]):
         link.silence(new_too=True)
     term = _log_of(running, leader)["term"]
-    for place, name in enumerate(NAMES * 2):
+    for index, name in enumerate(NAMES * 2):
         operator = _Operator(running, name)
-        assert operator.edit(0.4 + place / 100)["status"] == "accepted"
+        assert operator.edit(0.4 + index / 100)["status"] == "accepted"
     assert _log_of(running, leader)["term"] == term
 
 
-def _lose_disk(running, name):
+def _delete_state(running, name):
     running.processes[name].kill()
     running.processes[name].wait()
     shutil.rmtree(running.state_folder / name)
 
 
-def test_second_lost_disk_right_after_a_repair_is_survived(running):
-    # An instance loses its disk and starts with an empty folder. It must not
-    # vote on what it has forgotten; it catches up first. As soon as the
-    # status says `redundant` again, a second disk may go, and everything that
-    # was accepted is still there.
+def test_second_disk_may_be_lost_after_a_repair(running):
+    # A control process loses its disk and starts with an empty folder. It must
+    # catch up before it votes, since its earlier votes are lost. Once the
+    # status says `redundant` again, a second disk may be lost without losing an
+    # accepted edit.
     revision = _Operator(running).edit(0.05)["revision"]
     before = set(_log_of(running, "control-2")["voters"])
-    for place, lost in enumerate(("control-1", "control-3")):
-        _lose_disk(running, lost)
+    for index, lost in enumerate(("control-1", "control-3")):
+        _delete_state(running, lost)
         running.start_instance(lost)
         running.wait_ready(lost)
         assert deployment.wait_until(
@@ -231,11 +228,11 @@
                 and _log_of(running, lost)["role"] in ("leader", "follower")
             )
         )
-        revision = _edit_until_accepted(_Operator(running), 0.06 + place / 100)
+        revision = _edit_until_accepted(_Operator(running), 0.06 + index / 100)
     after = set(_log_of(running, "control-2")["voters"])
     assert len(after) == 3
     assert len(after & before) == 1
-    _lose_disk(running, "control-2")
+    _delete_state(running, "control-2")
     survivors = _Operator(running, "control-1", "control-3")
     assert deployment.wait_until(
         lambda: _leader(running, ("control-1", "control-3"))
@@ -245,18 +242,18 @@
     )
 
 
-def test_hundreds_of_edits_survive_a_restart_of_all(running):
-    # Hundreds of changes have gathered when the whole deployment is
-    # restarted. Every process has to come back with all of them.
+def test_hundreds_of_edits_survive_a_full_restart(running):
+    # All control processes are restarted after hundreds of edits. Each must
+    # recover all of them.
     operator = _Operator(running)
     base = operator.admin.get("/v1/document", fresh="yes")["revision"]
-    for place in range(200):
+    for index in range(200):
         answer = operator.admin.edit(
             {
-                "edit_id": f"many-{place}",
-                "base_revision": base + place,
+                "edit_id": f"many-{index}",
+                "base_revision": base + index,
                 "replacements": {
-                    "tier:race": f"rank = 0\nreserved_share = 0.{place + 100}\n"
+                    "tier:race": f"rank = 0\nreserved_share = 0.{index + 100}\n"
                 },
             }
         )
@@ -278,13 +275,12 @@
     assert len(history) >= 200
 
 
-def test_claims_survive_a_leader_change_with_at_most_one_run(running):
-    # A groomer's sign-offs are under way when the leading control process is
-    # killed, and the groomer's phone sends each of them again. No pass may be
-    # signed off twice, and "not run" must be true.
+def test_claimed_calls_run_at_most_once_across_leader_change(running):
+    # The leader is killed while unrepeatable calls are running, and each call
+    # is sent again. No call may run twice, and `not_run` must be true.
     leader = _leader(running)
 
-    def sign_off(place):
+    def sign_off(index):
         answers = []
         for entry in ("entry-1", "entry-2", "entry-1"):
             answers.append(
@@ -292,16 +288,16 @@
                     running.entries[entry],
                     "groomers-north",
                     "trail-desk/sign-off",
-                    body=f"pass {place}".encode(),
-                    key=f"pass-{place}",
+                    body=f"pass {index}".encode(),
+                    key=f"pass-{index}",
                 )
             )
         return answers
 
     with futures.ThreadPoolExecutor(8) as pool:
-        under_way = [pool.submit(sign_off, place) for place in range(24)]
+        pending = [pool.submit(sign_off, index) for index in range(24)]
         running.processes[leader].kill()
-        answers = [future.result(timeout=120) for future in under_way]
+        answers = [future.result(timeout=120) for future in pending]
     runs = [
         run
         for address in running.engines["trail-desk"]
@@ -311,8 +307,8 @@
     ]
     ran = collections.Counter(run["body"] for run in runs)
     assert max(ran.values()) == 1
-    for place, group in enumerate(answers):
-        body = f"pass {place}"
+    for index, group in enumerate(answers):
+        body = f"pass {index}"
         if any(answer.status == 200 for answer in group):
             assert ran[body] == 1
         if group[-1].error and group[-1].error["not_run"]:
@@ -331,14 +327,14 @@
     return subprocess.run(command, capture_output=True, text=True)
 
 
-def _start_fourth(running):
+def _start_fourth_control(running):
     http_port, peer_port = deployment.free_ports(2)
     text = (running.state_folder / "control-1.ini").read_text()
     port = running.controls["control-1"].rpartition(":")[2]
-    own = running.peers["control-1"]
+    address = running.peers["control-1"]
     text = text.replace(f"port = {port}\n", f"port = {http_port}\n")
     text = text.replace(
-        f"port = {own.rpartition(':')[2]}\n", f"port = {peer_port}\n"
+        f"port = {address.rpartition(':')[2]}\n", f"port = {peer_port}\n"
     )
     text = text.replace("id = control-1\n", "id = control-4\n")
     text = text.replace(
@@ -353,10 +349,10 @@
     running.wait_ready("control-4")
 
 
-def test_a_fourth_process_is_let_in_and_one_taken_out(running):
-    # An instance is replaced by another one: the new process waits until an
-    # operator lets it in, catches up without a vote, and then counts.
-    _start_fourth(running)
+def test_control_process_is_replaced(running):
+    # A new process waits until an operator adds it, catches up without a vote,
+    # and votes once it is promoted. Then another process is removed.
+    _start_fourth_control(running)
     assert _member(running, "remove", "control-9").returncode == 1
     assert deployment.wait_until(
         lambda: "control-4" in _member(running, "list").stdout
@@ -366,8 +362,8 @@
         lambda: _member(running, "promote", "control-4").returncode == 0
     )
     leader = _leader(running, (*NAMES, "control-4"))
-    gone = next(n for n in ("control-1", "control-3") if n != leader)
-    assert _member(running, "remove", gone).returncode == 0
+    removed = next(n for n in ("control-1", "control-3") if n != leader)
+    assert _member(running, "remove", removed).returncode == 0
     voters = _log_of(running, leader)["voters"]
     assert len(voters) == 3
     assert any(voter.startswith("control-4.") for voter in voters)
--- a/cardamombarrow/tests/test_cut_off.py
+++ b/cardamombarrow/tests/test_cut_off.py
@@ -1,4 +1,4 @@
-"""A failure domain cut off from control and from all other domains."""
+"""A failure domain without links to control processes and other domains."""
 
 import signal
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture(scope="module")
 def running(kandula_text, tmp_path_factory):
-    """Two entries in one domain, one and the control in another."""
+    """Two entries in one domain, an entry and a control process in another."""
     plan = deployment.Plan(
         document=kandula_text,
         entries={"nuwara-a": ["entry-1", "entry-2"], "badulla-a": ["entry-3"]},
@@ -41,7 +41,7 @@
     )
 
 
-def _ask(running, entry):
+def _complete(running, entry):
     return caller.complete(
         running.entries[entry], "race-control", model="trail-7b", tokens=3
     ).status
@@ -57,12 +57,11 @@
     )
 
 
-def test_cut_off_domain_goes_on_and_catches_up(running):
-    # The links to one domain fail for a long time, and operators edit the
-    # document meanwhile. Marshals there must be served as before, by the last
-    # document that the domain had, also after one of its entries crashed and
-    # came back. A sign-off can't be checked against the others and must not
-    # run. When the links are back, edit and sign-off go through.
+def test_cut_off_domain_keeps_serving_and_catches_up(running):
+    # The links to one domain are down while operators edit the document.
+    # Entries there must keep serving by their last document, also after a crash
+    # and a restart. An unrepeatable call can't be claimed and must not run.
+    # Once the links are restored, the edit and the call must succeed.
     first = _edit(running, 0.2)
     for entry in running.entries:
         assert _wait_for(running, entry, first)
@@ -80,7 +79,7 @@
     running.wait_ready("entry-2")
     for entry in sorted(_CUT_OFF):
         assert running.revision(entry) == first
-        assert _ask(running, entry) == 200
+        assert _complete(running, entry) == 200
     assert control.runs(running.engines["trail-desk"], "cut-off") == []
     for link in links:
         link.mend()
@@ -92,9 +91,10 @@
     assert len(control.runs(running.engines["trail-desk"], "cut-off")) == 1
 
 
-def test_entry_without_control_gets_an_edit_from_its_domain(running):
-    # Only one entry loses the control processes. Callers that the balancer
-    # sends there would see the old document, those at its neighbour the new.
+def test_entry_without_control_gets_edits_from_its_domain(running):
+    # One entry loses the control processes. It must get the document from the
+    # other entry of its domain, or callers would get different documents
+    # depending on the entry.
     links = running.proxy.between({"entry-1"}, {"control-1"})
     for link in links:
         link.silence(new_too=True)
--- a/cardamombarrow/tests/test_drain.py
+++ b/cardamombarrow/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave, and entries that are told to stop."""
+"""Leaving endpoints and entries that drain, with real processes."""
 
 from concurrent import futures
 import json
@@ -14,8 +14,8 @@
 
 pytestmark = pytest.mark.process
 
-LEAVING_LIMIT_S = 3.0
-"""After this an endpoint that leaves gets no new request."""
+LEAVING_TIMEOUT_S = 3.0
+"""Time after which a leaving endpoint gets no new requests."""
 
 _STREAM_TOKENS = 150
 
@@ -33,7 +33,7 @@
         yield started
 
 
-def _ask(running, **options) -> caller.CallerAnswer:
+def _complete(running, **options) -> caller.CallerAnswer:
     return caller.complete(
         running.entries["entry-1"],
         "digest-desk",
@@ -58,14 +58,14 @@
 
 
 @pytest.mark.parametrize("teller", ["platform", "report"])
-def test_a_leaving_endpoint_gets_no_new_request_and_loses_none(running, teller):
-    # The platform takes an engine away, or the engine says so itself, while
-    # streams run on it. New requests go elsewhere after a few seconds at
-    # most; the streams that it has come whole.
+def test_leaving_endpoint_gets_no_new_requests(running, teller):
+    # The platform's list or the engine's own load report marks the engine as
+    # leaving while streams run on it. New requests must go to other engines
+    # within a few seconds, and the running streams must complete.
     leaving = running.engines["report-writer"][0]
     with futures.ThreadPoolExecutor(8) as executor:
         streams = [
-            executor.submit(_ask, running, tokens=_STREAM_TOKENS)
+            executor.submit(_complete, running, tokens=_STREAM_TOKENS)
             for _ in range(6)
         ]
         assert deployment.wait_until(lambda: len(_runs(leaving)) > 0)
@@ -86,10 +86,12 @@
             )
         else:
             _post(f"http://{leaving}/standin/behaviour", {"leaving": True})
-        time.sleep(LEAVING_LIMIT_S)
+        time.sleep(LEAVING_TIMEOUT_S)
         before = len(_runs(leaving))
         for number in range(8):
-            assert _ask(running, tokens=2, prompt=str(number)).status == 200
+            assert (
+                _complete(running, tokens=2, prompt=str(number)).status == 200
+            )
         assert len(_runs(leaving)) == before
         for future in streams:
             answer = future.result()
@@ -98,10 +100,10 @@
             )
 
 
-def test_a_stop_cuts_no_stream_and_tells_the_balancer_first(running):
-    # An operator restarts an entry on a race morning. The balancer still
-    # sends requests for some seconds; long answers are under way; and the
-    # operator, impatient, sends the signal again. Nobody's answer is cut.
+def test_draining_entry_completes_streams(running):
+    # An entry gets a stop signal, and more of them while it drains. The
+    # balancer still sends requests for some seconds while long streams run. No
+    # answer may be cut off.
     url = running.entries["entry-1"]
 
     def placed() -> int:
@@ -110,7 +112,7 @@
     before = placed()
     with futures.ThreadPoolExecutor(8) as executor:
         streams = [
-            executor.submit(_ask, running, tokens=_STREAM_TOKENS)
+            executor.submit(_complete, running, tokens=_STREAM_TOKENS)
             for _ in range(6)
         ]
         assert deployment.wait_until(lambda: placed() >= before + 6)
@@ -120,7 +122,7 @@
         )
         ready = http_get.fetch(f"{url}/readyz", timeout_s=5)
         assert json.loads(ready.body)["error"]["code"] == "draining"
-        assert _ask(running, tokens=2, prompt="late").status == 200
+        assert _complete(running, tokens=2, prompt="late").status == 200
         running.signal("entry-1", signal.SIGTERM)
         running.signal("entry-1", signal.SIGINT)
         for future in streams:
@@ -133,9 +135,10 @@
         http_get.fetch(f"{url}/healthz", timeout_s=1)
 
 
-def test_an_entry_without_a_document_is_alive_but_not_ready(running):
-    # The whole control side is down when an entry starts. The balancer must
-    # see that it can't serve yet, and the entry serves as soon as it can.
+def test_entry_without_a_document_is_not_ready(running):
+    # All control processes are down when an entry starts. The entry must answer
+    # health checks, report that it is not ready, and serve once it has fetched
+    # a document.
     url = running.entries["entry-1"]
     for name in ("entry-1", "control-1"):
         running.processes[name].kill()
@@ -152,21 +155,21 @@
     ready = fetch("/readyz")
     assert ready.status == 503
     assert json.loads(ready.body)["error"]["code"] == "not_ready"
-    asked = _ask(running, tokens=2)
-    assert asked.error["code"] == "not_ready"
-    assert asked.error["not_run"] is True
+    answer = _complete(running, tokens=2)
+    assert answer.error["code"] == "not_ready"
+    assert answer.error["not_run"] is True
     running.start_instance("control-1")
     running.wait_ready("entry-1")
-    assert _ask(running, tokens=2).status == 200
+    assert _complete(running, tokens=2).status == 200
 
 
-def test_an_entry_that_stops_refuses_once_the_balancer_had_its_time(running):
-    # The balancer knows no other entry and goes on sending for as long as the
-    # port is open. What was taken then was cut off when the process was
-    # killed at the end of its time; it has to be told to come back.
+def test_draining_entry_refuses_calls_after_the_notice_time(running):
+    # A balancer without another entry sends requests as long as the port is
+    # open. Requests accepted after the notice time would be cut off when the
+    # process is killed, so they must be refused with a retryable error.
     url = running.entries["entry-1"]
     with futures.ThreadPoolExecutor(2) as executor:
-        stream = executor.submit(_ask, running, tokens=_STREAM_TOKENS)
+        stream = executor.submit(_complete, running, tokens=_STREAM_TOKENS)
         assert deployment.wait_until(
             lambda: '"decision": "place"' in running.log("entry-1")
         )
--- a/cardamombarrow/tests/test_in_force.py
+++ b/cardamombarrow/tests/test_in_force.py
@@ -1,4 +1,4 @@
-"""An accepted edit comes into force everywhere, whatever the links do."""
+"""Accepted edits reach every instance despite faults of links."""
 
 import signal
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def running(kandula_text, tmp_path_factory):
-    """Two domains; one entry has no neighbour that could help it."""
+    """Two domains, one of them with a single entry."""
     plan = deployment.Plan(
         document=kandula_text,
         entries={"nuwara-a": list(_DOMAIN), "badulla-a": ["entry-3"]},
@@ -37,43 +37,43 @@
     return _operator(running).edit_share(share)
 
 
-def _late(running, revision):
+def _lagging(running, revision):
     return _operator(running).late(revision)
 
 
-def test_silent_link_is_found_and_replaced(running):
-    # Something between an entry and its control process loses track of their
-    # connection. Nothing breaks, and new connections work; the entry would
-    # keep the old document for good.
+def test_silent_connection_is_detected_and_replaced(running):
+    # A middlebox loses the state of the connection between an entry and its
+    # control process. The connection stays open without data while new ones
+    # work; without a timeout the entry would use the old document forever.
     for link in running.proxy.between({"entry-3"}, {"control-1"}):
         link.silence(new_too=False)
     revision = _edit(running, 0.2)
     assert deployment.wait_until(
         lambda: running.revision("entry-3") == revision, 20
     )
-    assert deployment.wait_until(lambda: not _late(running, revision), 20)
+    assert deployment.wait_until(lambda: not _lagging(running, revision), 20)
 
 
-def test_entry_that_is_cut_off_is_named(running):
+def test_unreachable_entry_is_reported_as_lagging(running):
     # An operator waits until an edit is in force everywhere. An entry that is
-    # alive but out of reach must not be passed over.
+    # running but unreachable must be listed as lagging.
     links = running.proxy.between({"entry-3"}, {"control-1"})
     for link in links:
         link.cut()
     revision = _edit(running, 0.15)
     assert deployment.wait_until(
-        lambda: _late(running, revision) == {"entry-3"}, 20
+        lambda: _lagging(running, revision) == {"entry-3"}, 20
     )
     for link in links:
         link.mend()
-    assert deployment.wait_until(lambda: not _late(running, revision), 20)
+    assert deployment.wait_until(lambda: not _lagging(running, revision), 20)
 
 
-def test_restarts_keep_the_accepted_revision(running):
-    # Entries crash and come back. Whatever they had accepted is in force
-    # again before they turn ready.
+def test_restarted_entry_applies_its_last_revision(running):
+    # Entries are killed and restarted. Each must apply its last accepted
+    # revision before it is ready.
     revision = _edit(running, 0.25)
-    assert deployment.wait_until(lambda: not _late(running, revision), 20)
+    assert deployment.wait_until(lambda: not _lagging(running, revision), 20)
     for entry in ("entry-1", "entry-3"):
         running.signal(entry, signal.SIGKILL)
         running.processes[entry].wait()
@@ -82,10 +82,10 @@
         assert running.revision(entry) == revision
 
 
-def test_leaving_endpoint_is_out_of_use_in_the_whole_domain(running):
-    # An engine is about to leave and says so in its load report, while the
-    # platform's list still calls it live. Two entries poll it; the others
-    # must hear it from them, or go on sending requests that will be cut.
+def test_leaving_endpoint_is_announced_in_the_domain(running):
+    # An engine's load report says that it is leaving while the platform's list
+    # still has it as live. Two entries poll the engine; the others must get the
+    # state from them, or their requests to it would be cut off.
     endpoint = running.engines["trail-desk"][0]
     http_get.fetch(
         running.listing_url.replace("/v1/listing", "/standin/state"),
@@ -95,7 +95,7 @@
     )
     control.behave(endpoint, leaving=True)
 
-    def told(entry):
+    def has_logged_leaving(entry):
         lines = running.log(entry).splitlines()
         return any(
             '"decision": "leaving"' in line and endpoint in line
@@ -103,13 +103,13 @@
         )
 
     for entry in _DOMAIN:
-        assert deployment.wait_until(lambda e=entry: told(e), 20)
+        assert deployment.wait_until(lambda e=entry: has_logged_leaving(e), 20)
     control.behave(endpoint, leaving=False)
 
 
 @pytest.fixture(scope="module")
 def three_controls(kandula_text, tmp_path_factory):
-    """One domain of two entries, three control processes."""
+    """One domain of two entries, and three control processes."""
     plan = deployment.Plan(
         document=kandula_text,
         entries={"nuwara-a": list(_DOMAIN)},
@@ -125,11 +125,10 @@
         yield started
 
 
-def test_isolated_control_reverts_nothing(three_controls):
-    # A control process loses the other two without noticing at once, and goes
-    # on offering the document it has. An edit is accepted by the others. An
-    # entry that reaches only the isolated one, and restarts, would serve by
-    # the old document; callers would see an accepted edit reverted.
+def test_isolated_control_does_not_revert_an_edit(three_controls):
+    # A control process is cut off from the other two and still offers its old
+    # document after the others accepted an edit. A restarted entry that reaches
+    # only this control process must not go back to the old document.
     running = three_controls
     proxy = running.proxy
     others = {"control-1", "control-2"}
--- a/cardamombarrow/tests/test_operators.py
+++ b/cardamombarrow/tests/test_operators.py
@@ -82,8 +82,8 @@
 
 
 def test_document_pushed_with_highest_number_wins(kandula, tmp_path):
-    # The same document document is pushed again after a lost answer, and an older
-    # one arrives late. The document with the highest number must stay.
+    # The same document is pushed again after a lost answer, and an older one
+    # arrives late. The document with the highest number must stay.
     path = tmp_path / "document.ini"
     document = _config(kandula, "get").stdout
     statuses = []
