--- a/cardamombarrow/tests/test_callers.py
+++ b/cardamombarrow/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send rubbish, are slow, leave, or come in floods."""
+"""Invalid, slow, cancelled and excessive requests of callers."""
 
 from concurrent import futures
 import json
@@ -82,7 +82,7 @@
 
 
 def _send(url: str, data: bytes) -> tuple[int, dict]:
-    """Sends raw bytes; returns status and error object of the answer."""
+    """Sends raw bytes; returns the status and error object of the answer."""
     with _connect(url) as connection:
         connection.sendall(data)
         answer = b"".join(iter(lambda: connection.recv(65_536), b""))
@@ -103,7 +103,7 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-def _behave(running, service: str, **changes) -> None:
+def _change_behaviour(running, service: str, **changes) -> None:
     http_get.fetch(
         f"http://{running.engines[service][0]}/standin/behaviour",
         timeout_s=5,
@@ -119,14 +119,14 @@
     )
 
 
-def _quick_is_served(running) -> None:
+def _check_quick_is_served(running) -> None:
     answer = caller.complete(running.entries["entry-1"], "desk", model="quick")
     assert answer.status == 200
     assert caller.content_of(answer) == caller.whole_content(answer, 5)
 
 
-_GOOD = caller.completion_body("quick", "x", True, 5)
-_HUGE = b"x" * 200_000
+_VALID_BODY = caller.completion_body("quick", "x", True, 5)
+_LARGE_BODY = b"x" * 200_000
 
 
 @pytest.mark.parametrize(
@@ -137,14 +137,18 @@
         (_post(b"\xff\xfe"), 400, "bad_request"),
         (_post(b'{"model": "quick", "max_tokens": "a"}'), 400, "bad_request"),
         (_post(b'{"model": "quick", "max_tokens": -1}'), 400, "bad_request"),
-        (_post(_GOOD, length=False), 400, "bad_request"),
-        (_post(_GOOD, "Content-Length: -4", length=False), 400, "bad_request"),
-        (_post(_GOOD, "X-Request-Class: none"), 400, "unknown_class"),
+        (_post(_VALID_BODY, length=False), 400, "bad_request"),
+        (
+            _post(_VALID_BODY, "Content-Length: -4", length=False),
+            400,
+            "bad_request",
+        ),
+        (_post(_VALID_BODY, "X-Request-Class: none"), 400, "unknown_class"),
         (_post(b'{"model": "none"}'), 404, "unknown_model"),
-        (_post(_HUGE), 413, "body_too_large"),
+        (_post(_LARGE_BODY), 413, "body_too_large"),
         (
             _post(
-                b"%x\r\n%b\r\n0\r\n\r\n" % (len(_HUGE), _HUGE),
+                b"%x\r\n%b\r\n0\r\n\r\n" % (len(_LARGE_BODY), _LARGE_BODY),
                 "Transfer-Encoding: chunked",
                 length=False,
             ),
@@ -164,44 +168,43 @@
     ],
     ids=lambda value: None if isinstance(value, bytes) else str(value),
 )
-def test_bad_input_gets_an_error_of_the_closed_table(
-    running, data, status, code
-):
-    # A client of another make, or one with a fault, sends what the entry
-    # can't take. It is told what is wrong, in JSON, and nothing has run.
+def test_invalid_input_gets_a_documented_error(running, data, status, code):
+    # A client sends input that the entry can't process. The answer must be a
+    # JSON error from the table of error codes and say that nothing ran.
     seen_status, error = _send(running.entries["entry-1"], data)
     assert (seen_status, error["code"]) == (status, code)
     assert error["not_run"] is True
 
 
-def test_half_a_request_is_answered_and_harms_nobody(running):
-    # A phone loses its link in the middle of sending. Others are served
-    # meanwhile, and the thread is free after the time limit.
+def test_incomplete_request_times_out(running):
+    # A client stops in the middle of sending. Other requests must be served
+    # meanwhile, and the thread is freed at the time limit.
     url = running.entries["entry-1"]
     with _connect(url) as connection:
-        connection.sendall(_post(_GOOD)[:-10])
-        _quick_is_served(running)
+        connection.sendall(_post(_VALID_BODY)[:-10])
+        _check_quick_is_served(running)
         answer = connection.recv(65_536)
     assert b" 400 " in answer.partition(b"\r\n")[0]
     assert b"did not come whole" in answer
 
 
-def test_a_client_that_sends_a_byte_now_and_then_is_cut_off(running):
-    # Each byte comes in time, the request never ends. Without a limit on the
-    # whole of it such clients would keep all the threads.
+def test_client_that_sends_single_bytes_is_disconnected(running):
+    # Each byte arrives within the read timeout, but the request never ends.
+    # Without a limit on the whole request, clients like this could occupy all
+    # threads.
     with _connect(running.entries["entry-1"]) as connection:
-        request = iter(_post(_GOOD))
+        request = iter(_post(_VALID_BODY))
         with pytest.raises(OSError):
             for _ in range(100):
                 connection.sendall(bytes([next(request)]))
                 time.sleep(0.2)
 
 
-def test_a_caller_that_stops_reading_frees_the_engine(running):
-    # A laptop is closed in the middle of a long answer: its buffers fill up,
-    # and no end of the connection is seen.
+def test_caller_that_stops_reading_frees_the_engine(running):
+    # A caller stops reading in the middle of a long answer: the buffers fill
+    # up, and the connection isn't closed.
     url = running.entries["entry-1"]
-    _behave(running, "slow", token_s=0.0)
+    _change_behaviour(running, "slow", token_s=0.0)
     body = caller.completion_body("slow", "stops reading", True, 1_000_000)
     with _connect(url) as connection:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -212,15 +215,15 @@
                 for run in _runs(running, "slow")
             )
         )
-    _behave(running, "slow", token_s=0.02)
+    _change_behaviour(running, "slow", token_s=0.02)
 
 
 @pytest.mark.parametrize("moment", ["queued", "prefill", "stream"])
-def test_a_caller_who_leaves_frees_the_engine(running, moment):
-    # The caller closes the connection while the request waits, before the
-    # first token or in mid-stream. What nobody reads is not computed.
+def test_caller_that_disconnects_frees_the_engine(running, moment):
+    # The caller closes the connection while the request is queued, before the
+    # first token or in mid-stream. The engine must stop computing the answer.
     url = running.entries["entry-1"]
-    _behave(
+    _change_behaviour(
         running, "slow", prefill_s_per_token=10 if moment != "stream" else 0
     )
     before = len(_runs(running, "slow"))
@@ -251,17 +254,17 @@
             for run in _runs(running, "slow")[before:]
         )
     )
-    _behave(running, "slow", prefill_s_per_token=0)
+    _change_behaviour(running, "slow", prefill_s_per_token=0)
     assert len(_runs(running, "slow")) == before + (2 if others else 1)
     answer = caller.complete(url, "desk", model="slow", prompt="after")
     assert answer.status == 200
 
 
 @pytest.mark.parametrize("stream", [True, False])
-def test_200_callers_at_once_each_get_the_whole_of_their_own(running, stream):
-    # Two answers that cross, or a chunk that goes astray, would show as a
-    # word with another request's digest, or as a missing one.
-    def ask(number: int) -> bool:
+def test_200_concurrent_callers_get_their_own_complete_answers(running, stream):
+    # Swapped answers or a chunk sent to the wrong caller would show as a word
+    # with another request's digest, or as a missing word.
+    def is_complete(number: int) -> bool:
         answer = caller.complete(
             running.entries["entry-1"],
             "desk",
@@ -273,14 +276,14 @@
         return caller.content_of(answer) == caller.whole_content(answer, 12)
 
     with futures.ThreadPoolExecutor(200) as executor:
-        assert all(executor.map(ask, range(200)))
+        assert all(executor.map(is_complete, range(200)))
 
 
-def test_a_flood_of_a_low_tier_leaves_threads_for_a_higher_one(running):
-    # A weekend's letters arrive at once and wait for an engine. Each waiting
-    # request keeps a thread; a family's question must still be read.
+def test_flood_of_a_low_tier_leaves_threads_for_higher_ones(running):
+    # Many requests of a low tier wait for an engine, and each occupies a
+    # thread. A request of a higher tier must still be read.
     url = running.entries["entry-1"]
-    _behave(running, "slow", token_s=1.0)
+    _change_behaviour(running, "slow", token_s=1.0)
     body = caller.completion_body("slow", "flood", True, 100)
     letter = _post(body, "X-Request-Class: letter")
     flood = [_connect(url) for _ in range(300)]
@@ -288,7 +291,7 @@
         for connection in flood:
             connection.sendall(letter)
         for _ in range(3):
-            _quick_is_served(running)
+            _check_quick_is_served(running)
         status, error = _send(url, letter)
         assert (status, error["code"]) == (429, "overloaded")
         assert error["not_run"] is True
@@ -296,13 +299,13 @@
     finally:
         for connection in flood:
             connection.close()
-        _behave(running, "slow", token_s=0.02)
+        _change_behaviour(running, "slow", token_s=0.02)
 
 
-def test_idle_connections_over_the_bound_are_turned_away(running):
-    # A fault in a client, or somebody with ill intent, opens connections and
-    # sends nothing. The entry's descriptors must not run out; what is over
-    # the bound is told so at once, and all is well when they are gone.
+def test_connections_over_the_limit_are_refused(running):
+    # A client opens connections and sends nothing. The entry must not run out
+    # of file descriptors: connections over the limit are refused at once, and
+    # new ones work when the idle ones are closed.
     url = running.entries["entry-1"]
     idle = [_connect(url) for _ in range(2 * _CONNECTIONS)]
     try:
@@ -319,8 +322,8 @@
     )
 
 
-def test_a_workspace_holds_no_more_than_its_limit(running):
-    # One customer's loop sends without end; the sold limit holds it.
+def test_workspace_limit_is_enforced(running):
+    # A client in a loop must not exceed its workspace's max_in_flight.
     url = running.entries["entry-1"]
     body = caller.completion_body("quick", "held", True, 100_000)
     request = _post(body).replace(b"desk-key", b"small-key")
@@ -331,10 +334,10 @@
     assert (status, error["code"]) == (429, "workspace_limit")
 
 
-def test_metrics_tell_what_callers_got(running):
-    # What operators bill and alarm on must be what callers saw.
+def test_metrics_match_what_callers_received(running):
+    # Billing and alerts rely on these counts.
     url = running.entries["entry-1"]
-    _quick_is_served(running)
+    _check_quick_is_served(running)
     _send(url, _post(b"no json"))
 
     def metrics() -> str:
@@ -344,15 +347,15 @@
     text = metrics()
     assert f'{prefix}requests_total{{class="question",target="met"}}' in text
     assert f'{prefix}errors_total{{code="bad_request"}}' in text
-    # Callers of the tests before this one may just have left the queue; that
-    # is noticed within a quarter of a second.
+    # Callers of earlier tests may just have left the queue; the entry notices
+    # that within 0.25 s.
     assert deployment.wait_until(
         lambda: f"{prefix}requests_waiting 0\n" in metrics(), timeout_s=5
     )
 
 
 def test_callers_are_served_over_tls(running, tmp_path):
-    # Keys must not cross the network in the clear.
+    # Workspace keys must not be sent unencrypted.
     certificate, key = tmp_path / "cert.pem", tmp_path / "key.pem"
     command = (
         f"openssl req -x509 -newkey rsa:2048 -nodes -days 2 -subj /CN=entry "
@@ -376,14 +379,14 @@
     url = running.entries["entry-1"]
     context = ssl.create_default_context(cafile=str(certificate))
 
-    def ask() -> bytes:
+    def fetch_over_tls() -> bytes:
         try:
             with context.wrap_socket(
                 _connect(url), server_hostname="127.0.0.1"
             ) as connection:
-                connection.sendall(_post(_GOOD))
+                connection.sendall(_post(_VALID_BODY))
                 return b"".join(iter(lambda: connection.recv(65_536), b""))
         except OSError:
             return b""
 
-    assert deployment.wait_until(lambda: b"data: [DONE]" in ask())
+    assert deployment.wait_until(lambda: b"data: [DONE]" in fetch_over_tls())
--- a/cardamombarrow/tests/test_endpoint_failures.py
+++ b/cardamombarrow/tests/test_endpoint_failures.py
@@ -1,4 +1,4 @@
-"""Endpoints that crash, refuse, cut, stall or answer late."""
+"""Endpoints that crash, refuse, stall, answer late or break connections."""
 
 from concurrent import futures
 import contextlib
@@ -88,20 +88,20 @@
 
 
 @contextlib.contextmanager
-def _behaving(address: str, **changes):
-    """Changes how a stand-in behaves, and puts it back."""
+def _changed_behaviour(address: str, **changes):
+    """Changes how a stand-in behaves, then restores the defaults."""
     _fetch(address, "/standin/behaviour", json.dumps(changes).encode())
     try:
         yield
     finally:
-        back = {name: type(value)() for name, value in changes.items()}
-        back.update({"token_s": 0.05} if "token_s" in back else {})
-        _fetch(address, "/standin/behaviour", json.dumps(back).encode())
+        defaults = {name: type(value)() for name, value in changes.items()}
+        defaults.update({"token_s": 0.05} if "token_s" in defaults else {})
+        _fetch(address, "/standin/behaviour", json.dumps(defaults).encode())
 
 
 @contextlib.contextmanager
 def _killed(running, address: str):
-    """Kills a stand-in, and starts it again."""
+    """Kills a stand-in, then restarts it."""
     name = f"engine-{address}"
     running.signal(name, signal.SIGKILL)
     running.processes[name].wait()
@@ -109,22 +109,22 @@
         yield
     finally:
         running.start_engine(address)
-        assert deployment.wait_until(lambda: _alive(address))
+        assert deployment.wait_until(lambda: _is_up(address))
 
 
-def _alive(address: str) -> bool:
+def _is_up(address: str) -> bool:
     with contextlib.suppress(errors.EndpointError):
         return bool(_fetch(address, "/metrics"))
     return False
 
 
-def _ask(running, model: str, **options) -> caller.CallerAnswer:
+def _complete(running, model: str, **options) -> caller.CallerAnswer:
     return caller.complete(
         running.entries["entry-1"], "desk", model=model, **options
     )
 
 
-def _broken(running) -> list[dict]:
+def _broken_connections(running) -> list[dict]:
     lines = map(json.loads, running.log("entry-1").splitlines())
     return [line for line in lines if line["event"] == "connection broke"]
 
@@ -135,7 +135,7 @@
     return sum(map(int, re.findall(r"wasted_tokens_total\{.*\} (\d+)", text)))
 
 
-def _assert_broke_off(answer: caller.CallerAnswer, code: str) -> None:
+def _assert_incomplete(answer: caller.CallerAnswer, code: str) -> None:
     assert answer.status == 200
     assert answer.body.startswith(b"data: ")
     assert b"[DONE]" not in answer.body
@@ -143,64 +143,67 @@
     assert answer.error["not_run"] is False
 
 
-def test_a_stream_that_is_cut_ends_in_an_error_event(running):
-    # The engine's connection breaks in mid-answer. A caller that took the end
-    # of the connection for the end of the answer would use half a letter. The
-    # engine lives on, so it is not said to have crashed, and the stream of
-    # another caller on it comes whole.
-    before = len(_broken(running))
+def test_broken_stream_ends_with_an_error_event(running):
+    # The connection to the engine breaks in mid-answer. Without an error event
+    # the caller would take the partial answer for a complete one. The engine is
+    # still up, so it must not be counted as crashed, and the stream of another
+    # caller on it must complete.
+    before = len(_broken_connections(running))
     with futures.ThreadPoolExecutor(1) as executor:
-        other = executor.submit(_ask, running, "lone", tokens=30)
-        cut = _ask(running, "lone", prompt="standin-cut", tokens=9)
-        _assert_broke_off(cut, "answer_cut")
+        other = executor.submit(_complete, running, "lone", tokens=30)
+        cut = _complete(running, "lone", prompt="standin-cut", tokens=9)
+        _assert_incomplete(cut, "answer_cut")
         whole = other.result()
     assert caller.content_of(whole) == caller.whole_content(whole, 30)
     assert _wasted_tokens(running) >= 3
-    assert [line["crashed"] for line in _broken(running)[before:]] == [False]
+    assert [
+        line["crashed"] for line in _broken_connections(running)[before:]
+    ] == [False]
 
 
-def test_a_plain_answer_that_is_cut_is_told_as_a_failure(running):
-    # The engine's connection breaks within a JSON answer. The caller must be
-    # told that the answer broke off, and must not see any part of it.
+def test_broken_json_answer_is_reported_as_an_error(running):
+    # The connection to the engine breaks within a JSON answer. The caller must
+    # get an error and no part of the answer.
     address = running.engines["lone"][0]
-    with _behaving(address, short_answer=True):
-        answer = _ask(running, "lone", stream=False)
+    with _changed_behaviour(address, short_answer=True):
+        answer = _complete(running, "lone", stream=False)
     assert answer.status == 502
     error = json.loads(answer.body)["error"]
     assert error["code"] == "answer_cut"
     assert error["not_run"] is False
 
 
-def test_a_crash_in_mid_stream_tells_once_who_was_there(running):
-    # An engine dies under three streams. Each caller is told that its answer
-    # broke off; the crash counts once, with all three as suspects.
-    before = len(_broken(running))
+def test_crash_is_logged_once_with_all_running_requests(running):
+    # An engine crashes while it runs three streams. Each caller must get an
+    # error event; the crash must be counted once, with all three requests as
+    # suspects.
+    before = len(_broken_connections(running))
     address = running.engines["lone"][0]
-    ran = len(_runs(running, "lone"))
+    runs_before = len(_runs(running, "lone"))
     with futures.ThreadPoolExecutor(3) as executor:
-        asked = [
-            executor.submit(_ask, running, "lone", tokens=1_000)
+        pending = [
+            executor.submit(_complete, running, "lone", tokens=1_000)
             for _ in range(3)
         ]
         assert deployment.wait_until(
             lambda: (
-                [r["tokens"] > 0 for r in _runs(running, "lone")[ran:]]
+                [r["tokens"] > 0 for r in _runs(running, "lone")[runs_before:]]
                 == [True] * 3
             )
         )
         with _killed(running, address):
-            for future in asked:
-                _assert_broke_off(future.result(), "answer_cut")
-    crashes = _broken(running)[before:]
+            for future in pending:
+                _assert_incomplete(future.result(), "answer_cut")
+    crashes = _broken_connections(running)[before:]
     assert [line["crashed"] for line in crashes] == [True]
     assert len(crashes[0]["suspects"]) == 3
 
 
-def test_a_request_to_a_dead_engine_is_not_run(running):
-    # Nothing listens where the engine was. The caller is told at once that
-    # the request did not run; it may send it again without a second run.
+def test_request_to_a_stopped_engine_is_not_run(running):
+    # The engine's port is closed. The caller must learn at once that the
+    # request did not run, so that sending it again can't cause a second run.
     with _killed(running, running.engines["lone"][0]):
-        answer = _ask(running, "lone")
+        answer = _complete(running, "lone")
         assert answer.status == 503
         assert answer.error["code"] == "endpoint_unreached"
         assert answer.error["not_run"] is True
@@ -208,46 +211,47 @@
 
 
 @pytest.mark.parametrize("failure", ["dead", "fails", "refuses", "cut"])
-def test_what_one_engine_fails_another_answers(running, failure):
-    # One of two engines is dead, answers 500 or 503, or drops every request
-    # before its first token. As no byte has gone to a caller, each request is
-    # run on the other engine, and nobody notices.
+def test_failed_request_runs_on_the_other_engine(running, failure):
+    # One of two engines is down, answers 500 or 503, or closes every connection
+    # before the first token. Since no byte was sent to the caller, each request
+    # must be run on the other engine.
     address = running.engines["pair"][0]
-    bad = {
-        "fails": _behaving(address, fail_status=500),
-        "refuses": _behaving(address, fail_status=503),
-        "cut": _behaving(address, cut_at_start=True),
+    faults = {
+        "fails": _changed_behaviour(address, fail_status=500),
+        "refuses": _changed_behaviour(address, fail_status=503),
+        "cut": _changed_behaviour(address, cut_at_start=True),
     }
-    with bad[failure] if failure in bad else _killed(running, address):
+    with faults[failure] if failure in faults else _killed(running, address):
         for number in range(6):
-            answer = _ask(running, "pair", prompt=f"{failure} {number}")
+            answer = _complete(running, "pair", prompt=f"{failure} {number}")
             assert caller.content_of(answer) == caller.whole_content(answer, 5)
 
 
-def test_not_run_is_what_the_engine_says_of_itself(running):
-    # An overloaded engine refuses. "Not run" is checked against the engine's
-    # own record; a caller relies on it to send unrepeatable work again.
+def test_not_run_matches_the_record_of_the_engine(running):
+    # An overloaded engine refuses. `not_run` is checked against the engine's
+    # own record, since callers rely on it to resend unrepeatable calls.
     before = _runs(running, "lone")
-    with _behaving(running.engines["lone"][0], fail_status=503):
-        answer = _ask(running, "lone")
+    with _changed_behaviour(running.engines["lone"][0], fail_status=503):
+        answer = _complete(running, "lone")
     assert answer.error["code"] == "endpoint_refused"
     assert answer.error["not_run"] is True
     assert _runs(running, "lone") == before
 
 
-def test_a_failing_engine_is_not_said_to_have_not_run(running):
-    # The engine answers 500. Whether it ran the request is not known.
-    with _behaving(running.engines["lone"][0], fail_status=500):
-        answer = _ask(running, "lone")
+def test_failed_request_may_have_run(running):
+    # The engine answers 500; it is unknown whether it ran the request.
+    with _changed_behaviour(running.engines["lone"][0], fail_status=500):
+        answer = _complete(running, "lone")
     assert answer.status == 502
     assert answer.error["code"] == "endpoint_failed"
     assert answer.error["not_run"] is False
 
 
-def test_a_plain_service_that_answers_503_may_have_run(running):
-    # A shop's service answers 503 after half a charge. Only the caller can
-    # tell what it means: the answer is passed on and nothing is sent twice.
-    with _behaving(running.engines["shop"][0], fail_plain_status=503):
+def test_503_of_a_plain_service_is_passed_on(running):
+    # A plain service may answer 503 after it ran part of the call, and only the
+    # caller can interpret that. The answer must be passed on and the call must
+    # not be sent twice.
+    with _changed_behaviour(running.engines["shop"][0], fail_plain_status=503):
         answers = [
             caller.service(
                 running.entries["entry-1"],
@@ -262,60 +266,60 @@
     assert len(_runs(running, "shop")) == 1
 
 
-def test_answers_without_a_body_free_their_slots(running):
-    # A shop's service answers 204. The HTTP library never iterates the body
-    # of such an answer; had its slot been kept, the service would get no more
-    # requests after as many of them as it has slots.
+def test_answer_without_a_body_frees_its_slot(running):
+    # The HTTP library never iterates the body of a 204 answer. If the slot were
+    # released only there, the service would get no more requests after as many
+    # of these answers as it has slots.
     url = running.entries["entry-1"]
-    with _behaving(running.engines["shop"][0], fail_plain_status=204):
+    with _changed_behaviour(running.engines["shop"][0], fail_plain_status=204):
         for _ in range(_SHOP_SLOTS + 2):
             answer = caller.service(url, "desk", "shop/stock", body=b"x")
             assert (answer.status, answer.body) == (204, b"")
 
 
-def test_a_silent_connection_is_told_from_a_dead_engine(running):
-    # Something between the two ends has lost track of a connection: nothing
-    # comes any more, while a new connection works. The stream ends in an
-    # error soon and the engine is not blamed.
-    with _behaving(running.engines["lone"][0], stall_after_tokens=3):
-        answer = _ask(running, "lone", tokens=20)
-    _assert_broke_off(answer, "connection_silent")
+def test_silent_connection_is_not_reported_as_stalled(running):
+    # A middlebox loses the state of a connection: no data arrives, while new
+    # connections to the engine work. The stream must end with an error within
+    # the stall limit, and the engine must not be counted as failed.
+    with _changed_behaviour(running.engines["lone"][0], stall_after_tokens=3):
+        answer = _complete(running, "lone", tokens=20)
+    _assert_incomplete(answer, "connection_silent")
 
 
-def test_a_frozen_engine_is_blamed(running):
-    # The engine's process hangs: no token comes, and a new connection is not
-    # answered either.
+def test_frozen_engine_is_reported_as_stalled(running):
+    # The engine's process is stopped: no token arrives, and a new connection
+    # gets no answer either.
     name = f"engine-{running.engines['lone'][0]}"
-    ran = len(_runs(running, "lone"))
+    runs_before = len(_runs(running, "lone"))
     with futures.ThreadPoolExecutor(1) as executor:
-        asked = executor.submit(_ask, running, "lone", tokens=100)
+        pending = executor.submit(_complete, running, "lone", tokens=100)
         assert deployment.wait_until(
             lambda: (
-                [r["tokens"] > 0 for r in _runs(running, "lone")[ran:]]
+                [r["tokens"] > 0 for r in _runs(running, "lone")[runs_before:]]
                 == [True]
             )
         )
         running.signal(name, signal.SIGSTOP)
         try:
-            _assert_broke_off(asked.result(), "stalled")
+            _assert_incomplete(pending.result(), "stalled")
         finally:
             running.signal(name, signal.SIGCONT)
 
 
-def test_an_answer_after_the_request_was_given_up_reaches_nobody(running):
-    # The answer runs past its deadline. The caller gets its final answer, the
-    # engine is told to stop, and what it still sends is read by nobody.
-    answer = _ask(running, "lone", request_class="hurried", tokens=60)
-    _assert_broke_off(answer, "deadline")
+def test_answer_after_the_deadline_is_discarded(running):
+    # The answer exceeds its deadline. The caller gets a final error, the engine
+    # is told to cancel, and what it still sends must not reach another caller.
+    answer = _complete(running, "lone", request_class="hurried", tokens=60)
+    _assert_incomplete(answer, "deadline")
     for number in range(3):
-        after = _ask(running, "lone", prompt=f"after {number}")
+        after = _complete(running, "lone", prompt=f"after {number}")
         assert caller.content_of(after) == caller.whole_content(after, 5)
     assert deployment.wait_until(
         lambda: "running" not in [r["outcome"] for r in _runs(running, "lone")]
     )
 
 
-def _running_on(running) -> str:
+def _streaming_engine(running) -> str:
     for address in running.engines["pair"]:
         for run in json.loads(_fetch(address, "/standin/runs")):
             if run["outcome"] == "running" and run["tokens"] > 2:
@@ -324,33 +328,36 @@
 
 
 @pytest.mark.parametrize("failure", ["cut", "killed"])
-def test_a_cut_stream_goes_on_where_the_engine_offers_it(running, failure):
-    # A long letter's stream breaks with its connection, or its engine dies.
-    # Engines that resume go on at the token where it broke off: the caller
-    # gets each token once, and none is computed twice.
+def test_broken_stream_is_resumed_on_resumable_engines(running, failure):
+    # The connection of a long stream breaks, or its engine crashes. On
+    # resumable engines the stream continues at the next token: the caller must
+    # get each token once, and none may be computed twice.
     first, second = running.engines["pair"]
     prompt = "standin-cut" if failure == "cut" else failure
     wasted_tokens = _wasted_tokens(running)
     with (
-        _behaving(first, resumable=True),
-        _behaving(second, resumable=True),
+        _changed_behaviour(first, resumable=True),
+        _changed_behaviour(second, resumable=True),
         futures.ThreadPoolExecutor(1) as executor,
     ):
-        asked = executor.submit(_ask, running, "pair", prompt=prompt, tokens=60)
+        pending = executor.submit(
+            _complete, running, "pair", prompt=prompt, tokens=60
+        )
         if failure == "killed":
-            assert deployment.wait_until(lambda: _running_on(running))
-            with _killed(running, _running_on(running)):
-                answer = asked.result()
+            assert deployment.wait_until(lambda: _streaming_engine(running))
+            with _killed(running, _streaming_engine(running)):
+                answer = pending.result()
         else:
-            answer = asked.result()
+            answer = pending.result()
     assert caller.content_of(answer) == caller.whole_content(answer, 60)
     assert answer.body.endswith(b"data: [DONE]\n\n")
     assert _wasted_tokens(running) == wasted_tokens
 
 
-def test_a_header_that_cannot_be_sent_on_costs_no_slot(running):
-    # Bug: a header beyond ASCII made the preparation of the request fail after
-    # its slot was taken. Some such calls, and the service looked full for good.
+def test_header_that_cannot_be_forwarded_frees_the_slot(running):
+    # A header with non-ASCII characters made the preparation of the request
+    # fail after its slot was taken. After some of these calls the service had
+    # no free slot left.
     url = running.entries["entry-1"]
     for _ in range(2 * _SHOP_SLOTS):
         connection = client.HTTPConnection(url.removeprefix("http://"))
@@ -368,7 +375,7 @@
     assert caller.service(url, "desk", "shop/stock", method="GET").status == 200
 
 
-def test_a_quoted_path_reaches_the_service_as_it_was(running):
+def test_quoted_path_is_forwarded_unchanged(running):
     url = running.entries["entry-1"]
     answer = caller.service(url, "desk", "shop/a%20b%C3%A9", method="GET")
     assert json.loads(answer.body)["ran"] == "/a%20b%C3%A9"
