--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,9 +1,9 @@
-"""Builds the one file that is shipped: ``dist/cardamombarrow``.
+"""Builds the single-file distribution ``dist/cardamombarrow``.
 
-A zipapp with its libraries inside, made by shiv. On the first start it unpacks
+It is a zipapp with its libraries, made by shiv. On the first start it unpacks
 them below the user's cache folder (or ``SHIV_ROOT``) and runs in the same
-process: nothing else is started. One-file kinds that start a second process
-were ruled out, since an instance may run only one.
+process. Single-file formats that start a second process are not used, since an
+instance may run only one.
 """
 
 import pathlib
@@ -17,7 +17,7 @@
 
 
 def main() -> int:
-    """Builds the file and asks it for its version."""
+    """Builds the file and runs it with ``--version``."""
     build, dist = _ROOT / "build" / "binary", _ROOT / "dist"
     shutil.rmtree(build, ignore_errors=True)
     source = build / "source"
--- a/tools/caller.py
+++ b/tools/caller.py
@@ -1,4 +1,4 @@
-"""A small caller of an entry, for tests, demo and benchmarks."""
+"""A small client of an entry, for tests, demo and benchmarks."""
 
 import dataclasses
 import hashlib
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallerAnswer:
-    """What a caller received, whole.
+    """A complete answer.
 
     Attributes:
         sent: The body of the request.
@@ -32,7 +32,7 @@
 
     @property
     def error(self) -> dict[str, typing.Any] | None:
-        """The error that the answer carries."""
+        """The error object in the answer."""
         if b"event: error" in self.body:
             last = self.body.rpartition(b"data: ")[2]
             return json.loads(last)["error"]
@@ -65,7 +65,7 @@
     tokens: int = 5,
     timeout_s: float = 20.0,
 ) -> CallerAnswer:
-    """Asks for one completion and reads the whole answer."""
+    """Requests one completion and reads the complete answer."""
     headers = [
         f"Authorization: Bearer {workspace}-key",
         "Content-Type: application/json",
@@ -108,9 +108,9 @@
 
 
 def whole_content(answer: CallerAnswer, tokens: int) -> str:
-    """Returns the text that a stand-in gives to what the caller sent."""
-    mark = hashlib.sha256(answer.sent).hexdigest()[:8]
-    return "".join(f"{mark}-{number} " for number in range(tokens))
+    """Returns the text that a stand-in generates for the request."""
+    digest = hashlib.sha256(answer.sent).hexdigest()[:8]
+    return "".join(f"{digest}-{number} " for number in range(tokens))
 
 
 def content_of(answer: CallerAnswer) -> str:
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,8 +1,8 @@
-"""`make demo`: a whole deployment on loopback under a mixed load.
+"""`make demo`: runs a deployment on loopback under a mixed load.
 
 Three failure domains, 7 entries, 3 control processes and a stand-in for each
-endpoint of the example document. The load asks for about twice what the
-stand-ins can give, so that one sees who is served first.
+endpoint of the example document. The load is about twice the capacity of the
+stand-ins, so that the order of service by tier shows.
 """
 
 import argparse
@@ -21,10 +21,10 @@
 TOKEN_S = 0.02
 SLOTS = 8
 DEMAND_FACTOR = 2.0
-"""Tokens asked for, as a multiple of what the stand-ins can give."""
+"""Requested tokens, as a multiple of the stand-ins' capacity."""
 
 URGENT_SHARE = 0.3
-"""Part of the stand-ins' capacity that the highest tier asks for."""
+"""Share of the stand-ins' capacity that the highest tier requests."""
 
 ENGINE_OPTIONS = (
     "--token-s",
@@ -52,15 +52,15 @@
 
 
 def mixed_load(document: schema.Document) -> list[load.ClassLoad]:
-    """Returns a load of all classes with a model, in total over capacity.
+    """Returns a load of all model classes that exceeds the capacity.
 
-    The highest tier asks for `URGENT_SHARE` of the capacity; the other
+    The highest tier requests `URGENT_SHARE` of the capacity; the other
     classes share the rest of the demand evenly, by tokens.
     """
     model = next(iter(document.models.values()))
     engines = document.services[model.service].endpoints.values()
     capacity = sum(len(group) for group in engines) * SLOTS / TOKEN_S
-    users = {
+    workspaces = {
         class_id: workspace.workspace
         for workspace in document.workspaces.values()
         for class_id in workspace.classes
@@ -83,7 +83,7 @@
             loads.append(
                 load.ClassLoad(
                     class_id=item.class_id,
-                    workspace=users[item.class_id],
+                    workspace=workspaces[item.class_id],
                     model=model.model,
                     rate_per_s=tokens_per_s / item.expected_tokens,
                     tokens=item.expected_tokens,
@@ -95,7 +95,7 @@
 
 
 def main() -> int:
-    """Runs the demo; returns 0 when every caller's answer was accounted for."""
+    """Runs the demo and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--deployment", choices=["kandula", "nkansah"], default="kandula"
@@ -113,9 +113,9 @@
             generator = load.Load(
                 loads, list(running.entries.values()), options.seed
             )
-            result = generator.run(options.seconds, _show)
+            result = generator.run(options.seconds, _print_progress)
             wasted_tokens, all_tokens = records.wasted_work(running)
-        print("stopped everything")
+        print("all processes stopped")
     print()
     print("\n".join(load.table(result)))
     wasted_share = wasted_tokens / max(all_tokens, 1)
@@ -123,8 +123,8 @@
     return 0
 
 
-def _show(seconds: float, pending: int) -> None:
-    sys.stdout.write(f"  {seconds:4.0f} s, {pending} requests under way\n")
+def _print_progress(seconds: float, pending: int) -> None:
+    sys.stdout.write(f"  {seconds:4.0f} s, {pending} requests pending\n")
     sys.stdout.flush()
 
 
--- a/tools/deployment.py
+++ b/tools/deployment.py
@@ -1,6 +1,6 @@
-"""Starts a whole deployment on loopback: controls, entries, stand-ins.
+"""Starts a deployment on loopback: control processes, entries, stand-ins.
 
-Used by the demo, the benchmarks and the tests of whole processes. It ends
+Used by the demo, the benchmarks and the tests with real processes. It stops
 only the processes that it started.
 """
 
@@ -28,20 +28,20 @@
 START_TIMEOUT_S = 30.0
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
-"""Ports below the range from which outgoing connections are served."""
+"""The ports lie below the range of ephemeral ports."""
 
-PORTS_A_RUN = 256
-_PORT_NUMBERS = itertools.count(os.getpid() * PORTS_A_RUN)
+PORTS_PER_RUN = 256
+_PORT_NUMBERS = itertools.count(os.getpid() * PORTS_PER_RUN)
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports that are free, and that nobody is given by chance.
+    """Returns free ports below the range of ephemeral ports.
 
-    A port of the range that the machine hands to outgoing connections may be
-    taken by one of them before the process that is to listen there has
-    started; that process then fails to start, now and then. So ports below
-    that range are tried in turn, each run of tests from a place of its own.
+    An ephemeral port may be taken by an outgoing connection before the process
+    that should listen on it has started, and that process then fails to start.
+    The search starts at a port that depends on the process id, so that test
+    runs in parallel rarely collide.
     """
     found = []
     while len(found) < count:
@@ -58,7 +58,7 @@
 def wait_until(
     condition: typing.Callable[[], bool], timeout_s: float = START_TIMEOUT_S
 ) -> bool:
-    """Waits until a condition holds; returns whether it came to."""
+    """Waits until a condition is true; returns False after the timeout."""
     deadline_s = time.monotonic() + timeout_s
     while time.monotonic() < deadline_s:
         if condition():
@@ -69,11 +69,11 @@
 
 @dataclasses.dataclass
 class Plan:
-    """What to start.
+    """Processes to start, and their settings.
 
     Attributes:
         document: Text of the first document. A stand-in is started for each
-            endpoint in it, and its address put in the endpoint's place.
+            endpoint in it, and its address replaces the endpoint's.
         entries: Instance ids of entries by failure domain.
         controls: Instance ids of control processes by failure domain.
         report_interval_s: Time between an entry's reports to control.
@@ -82,10 +82,10 @@
         entry_extra: More lines for every entry's settings, by section.
         control_extra: More lines for every control process's settings;
             ``{platform}`` stands for the address of the platform's stand-in.
-        proxied: Whether what the instances say to each other goes through
-            `Deployment.proxy`, one link per source and target.
+        proxied: Whether instances reach each other through
+            `Deployment.proxy`, with one link per source and target.
         proxied_endpoints: Whether entries reach the endpoints through
-            `Deployment.proxy`: the document then names the links' addresses,
+            `Deployment.proxy`: the document then has the links' addresses,
             with the source ``entries`` and the endpoint's own address as
             the name of the link.
     """
@@ -103,15 +103,15 @@
 
 
 class Deployment(contextlib.AbstractContextManager):
-    """Running processes; ends them at exit.
+    """Running processes, which are stopped at exit.
 
     Attributes:
         engines: Addresses of the stand-ins by service.
         entries: HTTP addresses by instance id.
         controls: Administration URLs by instance id.
-        peers: Addresses for other instances, by instance id, past the proxy.
+        peers: Direct addresses for other instances, by instance id.
         processes: Every process, by name.
-        proxy: Links between the instances, where the plan asks for them.
+        proxy: Links between the processes, if the plan uses them.
     """
 
     def __init__(
@@ -142,7 +142,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Ends everything that was started."""
+        """Stops all processes."""
         self.stop()
 
     def _start(self) -> None:
@@ -186,7 +186,7 @@
         return self.proxy.link(source, name, self.peers[name]).address
 
     def start_engine(self, address: str) -> None:
-        """Starts the stand-in engine of an address, again if it ended."""
+        """Starts or restarts the stand-in engine of an address."""
         port = address.rpartition(":")[2]
         self._spawn(
             f"engine-{address}",
@@ -250,27 +250,27 @@
         name: str,
         domain: str,
         url: str,
-        more: str,
+        sections: str,
         seeds: str = "",
     ) -> None:
         path = self._folder / f"{name}.ini"
         controls = " ".join(
             self._route(name, control) for control in self.controls
         )
-        http_more = self._plan.entry_extra.get("http", "")
+        extra_http = self._plan.entry_extra.get("http", "")
         path.write_text(
             f"[instance]\nid = {name}\ndomain = {domain}\n"
             f"[http]\nport = {url.rpartition(':')[2]}\n"
-            f"{http_more if role == 'entry' else ''}"
+            f"{extra_http if role == 'entry' else ''}"
             f"[peers]\nsecret = {SECRET}\n"
             f"port = {self.peers[name].rpartition(':')[2]}\n"
             f"controls = {controls}\nseeds = {seeds}\n"
-            f"report_interval_s = {self._plan.report_interval_s}\n{more}"
+            f"report_interval_s = {self._plan.report_interval_s}\n{sections}"
         )
         self._settings[name] = (role, path)
 
     def start_instance(self, name: str) -> None:
-        """Starts an entry or control process, again if it ended."""
+        """Starts or restarts an entry or control process."""
         role, path = self._settings[name]
         self._spawn(name, (*self._command, role, "--settings", str(path)))
 
@@ -285,7 +285,7 @@
             )
 
     def wait_ready(self, name: str) -> None:
-        """Waits until an instance answers.
+        """Waits until an instance is ready.
 
         Raises:
             RuntimeError: It did not start in time.
@@ -310,7 +310,7 @@
         return self._settings[name][1]
 
     def log(self, name: str) -> str:
-        """Returns what a process wrote so far."""
+        """Returns the output of a process so far."""
         return (self._folder / f"{name}.log").read_text()
 
     def revision(self, name: str) -> int:
@@ -323,7 +323,7 @@
         self.processes[name].send_signal(number)
 
     def stop(self) -> None:
-        """Ends every process: politely, then by force; then the proxy."""
+        """Terminates every process, kills those left, and closes the proxy."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
--- a/tools/editor.py
+++ b/tools/editor.py
@@ -1,4 +1,4 @@
-"""A small operator, for tests and benchmarks."""
+"""Edits the document, for tests and benchmarks."""
 
 from cardamombarrow.admin import client
 
@@ -6,7 +6,7 @@
 
 
 class Editor:
-    """Edits the document and asks where it is in force."""
+    """Edits the document and reads where it is in force."""
 
     def __init__(self, urls: list[str], token: str = "operations-token"):
         self._admin = client.AdminClient(urls, token)
@@ -32,7 +32,7 @@
         return answer["revision"]
 
     def late(self, revision: int) -> set[str]:
-        """Returns the instances that the administration API says lag."""
+        """Returns the instances that have not applied a revision."""
         instances = self._admin.get("/v1/in-force")["instances"]
         return {
             name
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -1,8 +1,8 @@
-"""Runs a scenario on real processes: a load and the faults that meet it.
+"""Runs a scenario of load and faults on real processes.
 
 ``python -m tools.experiment examples/scenarios/slow_engine.ini`` starts the
-deployment on loopback, sends the load, brings about the faults at their
-times, and prints what callers received and what work was wasted.
+deployment on loopback, sends the load, injects the faults at their times, and
+prints the callers' results and the wasted work.
 """
 
 import argparse
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunSection:
-    """What is started and for how long."""
+    """The deployment and the duration of the load."""
 
     deployment: str = settings.setting(
         "kandula", help="example document: kandula or nkansah"
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """A whole scenario; loads by class."""
+    """A scenario, with its loads by class."""
 
     run: RunSection
     loads: dict[str, LoadSection]
@@ -109,24 +109,26 @@
     mistakes: list[str] = []
     run, loads, faults = RunSection(), {}, []
     for name in parser.sections():
-        raw, place = dict(parser[name]), f"{path}: [{name}]"
+        raw, location = dict(parser[name]), f"{path}: [{name}]"
         kind, _, rest = name.partition(":")
         if kind == "run":
-            run = settings.section(RunSection, raw, place, mistakes)
+            run = settings.section(RunSection, raw, location, mistakes)
         elif kind == "load":
-            loads[rest] = settings.section(LoadSection, raw, place, mistakes)
+            loads[rest] = settings.section(LoadSection, raw, location, mistakes)
         elif kind == "fault":
-            fault = settings.section(FaultSection, raw, place, mistakes)
+            fault = settings.section(FaultSection, raw, location, mistakes)
             faults.append(fault)
         else:
-            mistakes.append(f"{place}: known: run, load:<class>, fault:<name>")
+            mistakes.append(
+                f"{location}: known: run, load:<class>, fault:<name>"
+            )
     if mistakes:
         raise errors.ConfigError(mistakes)
     return Scenario(run, loads, sorted(faults, key=lambda f: f.at_s))
 
 
 class _Faults:
-    """Brings about the faults of a scenario, in a task of its own."""
+    """Injects the faults of a scenario in a separate thread."""
 
     def __init__(
         self, faults: list[FaultSection], running: deployment.Deployment
@@ -137,11 +139,11 @@
         self._stop = threading.Event()
 
     def start(self) -> None:
-        """Starts the clock."""
+        """Starts the thread; fault times count from here."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends without the faults that are still to come."""
+        """Stops the thread without injecting the remaining faults."""
         self._stop.set()
         self._thread.join()
 
@@ -152,9 +154,9 @@
             if self._stop.wait(max(0.0, wait_s)):
                 return
             print(f"  {fault.at_s:4.0f} s, {fault.action.value} {fault.target}")
-            self._cause(fault)
+            self._inject(fault)
 
-    def _cause(self, fault: FaultSection) -> None:
+    def _inject(self, fault: FaultSection) -> None:
         signals = {
             Action.KILL: signal.SIGKILL,
             Action.FREEZE: signal.SIGSTOP,
@@ -207,7 +209,7 @@
 
 
 def main() -> int:
-    """Runs one scenario and prints the table."""
+    """Runs one scenario and prints its results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("scenario", type=pathlib.Path)
     scenario = read(parser.parse_args().scenario)
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,8 +1,8 @@
-"""Open-loop load on running entries, and what its callers received.
+"""Open-loop load on running entries, and its results.
 
-Arrivals follow a Poisson process per class, whatever the answers do: callers
-in a burst do not wait for one another. A caller that is refused comes back
-when it was told to, as long as its deadline allows.
+Arrivals follow a Poisson process per class, independently of the answers. A
+refused caller tries again after the time that the answer states, as long as its
+deadline allows.
 """
 
 import collections
@@ -42,10 +42,11 @@
     Attributes:
         rate_per_s: Mean arrivals a second.
         tokens: Mean length of an answer; lengths vary from half to double.
-        target_first_token_s: What was promised, to judge attainment.
+        target_first_token_s: Time to the first byte that counts as on
+            time.
         deadline_s: Time from arrival after which the caller gives up.
-        from_s: Its first arrivals, from the start of the run.
-        to_s: Its last arrivals.
+        from_s: Start of the arrivals, from the start of the run.
+        to_s: End of the arrivals, from the start of the run.
     """
 
     class_id: str
@@ -69,11 +70,11 @@
 
 @dataclasses.dataclass
 class ClassResult:
-    """What the callers of one class received.
+    """Results of the callers of one class.
 
     Attributes:
         first_token_ms: Histogram of the time from arrival to first byte.
-        tokens: Useful tokens, those of whole answers.
+        tokens: Tokens of complete answers.
     """
 
     offered: int = 0
@@ -95,14 +96,14 @@
 
 @dataclasses.dataclass
 class Result:
-    """What all callers received in one run."""
+    """Results of all callers in one run."""
 
     classes: dict[str, ClassResult]
     seconds: float
 
     @property
     def goodput_tokens_per_s(self) -> float:
-        """Tokens of whole answers a second."""
+        """Tokens of complete answers per second."""
         total = sum(result.tokens for result in self.classes.values())
         return total / self.seconds
 
@@ -131,12 +132,12 @@
         seconds: float,
         progress: abc.Callable[[float, int], None] | None = None,
     ) -> Result:
-        """Sends for `seconds`, then waits for every answer.
+        """Sends requests, then waits for every answer.
 
         Args:
             seconds: How long requests arrive.
             progress: Called about every second with the time since the start
-                and the number of requests under way.
+                and the number of pending requests.
         """
         start_s = time.monotonic()
         shown_s = 0.0
@@ -185,17 +186,17 @@
             if attempt.status in (429, 503):
                 with self._lock:
                     result.refusals += 1
-                back_s = time.monotonic() + attempt.retry_after_s()
-                if back_s < arrival_s + load.deadline_s:
-                    time.sleep(back_s - time.monotonic())
+                retry_s = time.monotonic() + attempt.retry_after_s()
+                if retry_s < arrival_s + load.deadline_s:
+                    time.sleep(retry_s - time.monotonic())
                     continue
             answer = attempt
         with self._lock:
             self._pending -= 1
-            _judge(result, request, answer, arrival_s)
+            _record(result, request, answer, arrival_s)
 
 
-def _judge(
+def _record(
     result: ClassResult,
     request: _Request,
     answer: "_Attempt",
@@ -222,7 +223,7 @@
         self.status = 0
 
     def perform(self) -> None:
-        """Sends the request and reads all that comes."""
+        """Sends the request and reads the answer to its end."""
         load = self._request.load
         easy = pycurl.Curl()
         easy.setopt(pycurl.URL, self._request.url + "/v1/chat/completions")
@@ -243,7 +244,7 @@
         try:
             easy.perform()
         except pycurl.error:
-            # An answer that broke off is judged by what came of it.
+            # An incomplete answer is classified by the data received.
             pass
         finally:
             self.status = easy.getinfo(pycurl.RESPONSE_CODE)
@@ -266,7 +267,7 @@
         self._body += data
 
     def retry_after_s(self) -> float:
-        """Returns when to come back, as the answer says."""
+        """Returns the wait before the next attempt, from the answer."""
         try:
             error: dict[str, typing.Any] = json.loads(self._body)["error"]
             return float(error["retry_after_s"] or 1.0)
--- a/tools/process_cost.py
+++ b/tools/process_cost.py
@@ -9,7 +9,7 @@
 
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _UTIME, _STIME = 11, 12
-"""Places of the times after the command name in /proc/<pid>/stat."""
+"""Indexes of the times after the command name in /proc/<pid>/stat."""
 
 
 def cpu_s(pid: int) -> float:
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What a process took over some seconds."""
+    """CPU use and memory of a process over an interval."""
 
     core_share: float
     memory_bytes: int
 
 
 def measure(pids: list[int], seconds: float) -> list[Cost]:
-    """Watches processes for some seconds."""
+    """Measures processes over an interval."""
     before = [cpu_s(pid) for pid in pids]
     start_s = time.monotonic()
     time.sleep(seconds)
--- a/tools/proxy.py
+++ b/tools/proxy.py
@@ -1,8 +1,8 @@
 """A small fault-injecting TCP proxy for tests and benchmarks.
 
-A `Proxy` holds links, each with its own listening port and one target. Every
-link can be slowed down, cut, or made to go silent while it runs. All links of
-a proxy share one thread with an asyncio loop, in the process of the test.
+A `Proxy` has links, each with its own listening port and one target. Every
+link can be delayed, cut or silenced while it runs. All links of a proxy share
+one thread with an asyncio loop, in the process of the test.
 
 Example:
     >>> with Proxy() as proxy:  # doctest: +SKIP
@@ -12,8 +12,8 @@
     ...     link.mend()
 
 Notes:
-    The delay applies to bytes; the handshake of a connection is not slowed
-    down. A cut link takes a new connection and resets it at once.
+    The delay applies to bytes, not to the handshake of a connection. A cut link
+    accepts new connections and resets them at once.
 """
 
 import asyncio
@@ -27,14 +27,14 @@
 __all__ = ["Link", "LinkState", "Proxy"]
 
 READ_SIZE_BYTES = 65_536
-CHUNKS_UNDER_WAY = 1_024
-"""Chunks that a delayed direction holds before it stops reading."""
+MAX_QUEUED_CHUNKS = 1_024
+"""Chunks that a delayed direction buffers before it stops reading."""
 
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class LinkState(enum.Enum):
-    """What becomes of new connections."""
+    """How a link handles new connections."""
 
     OPEN = "open"
     CUT = "cut"
@@ -45,39 +45,40 @@
     """One relayed connection; all methods run on the loop.
 
     Attributes:
-        swallowed: Bytes and ends of both sides are dropped, for good.
+        is_silent: Whether bytes and closes of both sides are dropped. It is
+            never unset.
     """
 
     def __init__(self, link: "Link", writer: asyncio.StreamWriter):
         self._link = link
         self._writers = [writer]
-        self.swallowed = False
+        self.is_silent = False
 
     async def run(self, reader: asyncio.StreamReader) -> None:
-        """Relays until both sides have ended."""
+        """Relays until both sides have closed."""
         if self._link.state is LinkState.SILENT:
-            self.swallowed = True
-            await self._swallow(reader)
+            self.is_silent = True
+            await self._discard(reader)
             return
         host, _, port = self._link.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 host, int(port)
             )
         except OSError:
             self.reset()
             return
-        self._writers.append(far_writer)
+        self._writers.append(target_writer)
         await asyncio.gather(
-            self._relay(reader, far_writer),
-            self._relay(far_reader, self._writers[0]),
+            self._relay(reader, target_writer),
+            self._relay(target_reader, self._writers[0]),
         )
 
     async def _relay(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(
-            CHUNKS_UNDER_WAY
+            MAX_QUEUED_CHUNKS
         )
         sender = asyncio.create_task(self._send(queue, writer))
         loop = asyncio.get_running_loop()
@@ -89,7 +90,7 @@
                     break
             await sender
         except OSError:
-            if not self.swallowed:
+            if not self.is_silent:
                 self.reset()
         finally:
             sender.cancel()
@@ -104,7 +105,7 @@
             due_s, data = await queue.get()
             if due_s > loop.time():
                 await asyncio.sleep(due_s - loop.time())
-            if self.swallowed:
+            if self.is_silent:
                 continue
             if not data:
                 with contextlib.suppress(OSError):
@@ -113,11 +114,12 @@
             writer.write(data)
             await writer.drain()
 
-    async def _swallow(self, reader: asyncio.StreamReader) -> None:
+    async def _discard(self, reader: asyncio.StreamReader) -> None:
         with contextlib.suppress(OSError):
             while await reader.read(READ_SIZE_BYTES):
                 pass
-        # Whatever lost track of the connection doesn't pass its end on.
+        # A middlebox that lost the connection's state doesn't forward its
+        # close.
         await asyncio.Event().wait()
 
     def reset(self) -> None:
@@ -140,12 +142,12 @@
     """One listening port with one target.
 
     Attributes:
-        source: Who uses the link.
-        name: Whom it leads to.
-        target: Address ``host:port`` that it leads to.
-        address: Address ``host:port`` to connect to instead.
+        source: Name of the process that connects.
+        name: Name of the target process.
+        target: Address ``host:port`` of the target.
+        address: Address ``host:port`` on which the link listens.
         delay_s: One-way delay of bytes, in both directions.
-        state: What becomes of new connections.
+        state: How the link handles new connections.
     """
 
     def __init__(
@@ -185,7 +187,7 @@
             connection.close()
 
     def cut(self) -> None:
-        """Resets all connections, and each new one."""
+        """Resets all connections, and each new one at once."""
         self._call(self._cut)
 
     def _cut(self) -> None:
@@ -194,21 +196,21 @@
             connection.reset()
 
     def silence(self, *, new_too: bool) -> None:
-        """Swallows what comes on existing connections, without an end.
+        """Drops all data of existing connections without closing them.
 
         Args:
-            new_too: Whether new connections hang as well; otherwise they
-                work, while the existing ones stay silent for good.
+            new_too: Whether new connections are silent as well; otherwise
+                they work, while the existing ones stay silent.
         """
         self._call(lambda: self._silence(new_too))
 
     def _silence(self, new_too: bool) -> None:
         self.state = LinkState.SILENT if new_too else LinkState.OPEN
         for connection in self._connections:
-            connection.swallowed = True
+            connection.is_silent = True
 
     def mend(self) -> None:
-        """Lets new connections work; silent ones stay silent."""
+        """Relays new connections; silent ones stay silent."""
         self.state = LinkState.OPEN
 
     def _call(self, function: abc.Callable[[], None]) -> None:
@@ -223,10 +225,10 @@
 
 
 class Proxy(contextlib.AbstractContextManager):
-    """Links by source and name, on one loop thread.
+    """Links that share one loop thread.
 
     Attributes:
-        links: Every link, by source and name.
+        links: Links by source and name.
     """
 
     def __init__(self):
@@ -238,11 +240,11 @@
         self._thread.start()
 
     def __exit__(self, *_: object) -> None:
-        """Ends all links."""
+        """Closes all links."""
         self.close()
 
     def close(self) -> None:
-        """Ends all links."""
+        """Closes all links."""
         if self._loop.is_closed():
             return
         asyncio.run_coroutine_threadsafe(self._cancel(), self._loop).result(5)
@@ -257,7 +259,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def link(self, source: str, name: str, target: str) -> Link:
-        """Returns the link of a pair; opens it at the first call."""
+        """Returns the link of a source and a target; opens it on first use."""
         key = (source, name)
         if key not in self.links:
             link = Link(self._loop, source, name, target)
@@ -268,12 +270,12 @@
         return self.links[key]
 
     def between(
-        self, one: abc.Collection[str], other: abc.Collection[str]
+        self, first: abc.Collection[str], second: abc.Collection[str]
     ) -> list[Link]:
-        """Returns the links that join two groups, in both directions."""
+        """Returns the links between two groups, in both directions."""
         return [
             link
             for (source, name), link in self.links.items()
-            if (source in one and name in other)
-            or (source in other and name in one)
+            if (source in first and name in second)
+            or (source in second and name in first)
         ]
--- a/tools/records.py
+++ b/tools/records.py
@@ -1,4 +1,4 @@
-"""What the stand-in engines recorded of the work that they did."""
+"""Evaluates the runs that stand-in engines recorded."""
 
 import collections
 import json
@@ -11,14 +11,13 @@
 
 
 def wasted_work(running: deployment.Deployment) -> tuple[int, int]:
-    """Returns tokens thrown away and all tokens, by the stand-ins' records.
+    """Returns the counts of wasted and of all generated tokens.
 
-    Tokens of a run that was cut count as used where another run went on from
-    them to the end. What a stand-in that was killed had recorded is lost with
-    it.
+    Tokens of an interrupted run count as used if another run resumed after
+    them and completed the answer. The records of killed stand-ins are lost.
     """
     generated: collections.Counter[str] = collections.Counter()
-    whole: dict[str, int] = {}
+    completed: dict[str, int] = {}
     for address in (a for group in running.engines.values() for a in group):
         try:
             reply = http_get.fetch(
@@ -30,9 +29,9 @@
             request_id, tokens = record["request_id"], record.get("tokens", 0)
             generated[request_id] += tokens - record.get("first", 0)
             if record["outcome"] == "done":
-                whole[request_id] = tokens
+                completed[request_id] = tokens
     wasted = sum(
-        max(count - whole.get(request_id, 0), 0)
+        max(count - completed.get(request_id, 0), 0)
         for request_id, count in generated.items()
     )
     return wasted, generated.total()
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,4 +1,4 @@
-"""Runs all tests; passes over those in KNOWN-RED.txt and prints them."""
+"""Runs all tests except those in KNOWN-RED.txt, which it prints."""
 
 import pathlib
 import sys
@@ -8,8 +8,8 @@
 __all__ = ["main"]
 
 _PARALLEL = ("-n", "4", "--dist", "loadscope")
-"""Tests of one module stay in one worker, which keeps one deployment of real
-processes per module; four workers leave cores for those processes."""
+"""Tests of one module run in one worker, so that they share one deployment of
+real processes; four workers leave cores for those processes."""
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 
--- a/tools/standin/__init__.py
+++ b/tools/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems, for tests, demo and benchmarks."""
+"""Stand-ins for external systems, for tests, demo and benchmarks."""
--- a/tools/standin/control.py
+++ b/tools/standin/control.py
@@ -1,4 +1,4 @@
-"""Reads and changes stand-in engines from tests and benchmarks."""
+"""Controls stand-in engines from tests and benchmarks."""
 
 import json
 import typing
@@ -21,7 +21,7 @@
 
 
 def runs(addresses: list[str], body: str = "") -> list[dict]:
-    """Returns what plain services ran, of one body where it is given."""
+    """Returns the runs of plain services, only those of `body` if given."""
     found = []
     for address in addresses:
         reply = http_get.fetch(
--- a/tools/standin/engine.py
+++ b/tools/standin/engine.py
@@ -1,9 +1,9 @@
-"""A stand-in of a model engine and of a plain service.
+"""A stand-in for a model engine and for a plain service.
 
-It speaks OpenAI-compatible HTTP with SSE, batches continuously, honours
-priorities and cancellation, and reports its load with a lag. What it ran is
-kept and can be read, so that a test can check "not run" against the engine's
-own word. ``POST /standin/behaviour`` changes how it behaves while it runs.
+It serves OpenAI-compatible HTTP with SSE, batches continuously, supports
+priorities and cancellation, and reports its load with a lag. It records its
+runs, so that tests can check `not_run` against them.
+``POST /standin/behaviour`` changes its behaviour while it runs.
 """
 
 import argparse
@@ -27,12 +27,12 @@
 
 CUT_MARKER = b"standin-cut"
 CUT_AT_TOKEN = 3
-"""Where the connection of a request with `CUT_MARKER` in its body closes."""
+"""Token at which the connection of a request with `CUT_MARKER` is closed."""
 
-CANCEL_LOOK_S = 0.05
-"""Time between two looks at whether the router has cancelled a request."""
+CANCEL_POLL_S = 0.05
+"""Time between two checks whether the router has cancelled a request."""
 
-Gone = typing.Callable[[], bool]
+IsCancelled = typing.Callable[[], bool]
 
 
 @dataclasses.dataclass
@@ -43,18 +43,18 @@
         slots: Requests in one batch; more wait by priority.
         token_s: Time between two tokens of one request.
         prefill_s_per_token: Time to the first token per prompt token.
-        default_tokens: Length of an answer when the prompt sets none.
-        report_lag_s: Age of the load report that is shown.
-        stall_after_tokens: From this token on nothing comes; 0 is never.
-        cut_after_tokens: Connections close there; 0 is never.
-        crash_marker: A body that holds it ends the process; empty is none.
-        cut_at_start: Connections close before the first token.
-        short_answer: A plain answer ends before its announced length.
-        fail_status: Status answered to every completion; 0 is none.
-        fail_plain_status: Status with which plain calls end; 0 is none.
-        leaving: Shown in the load report.
-        resumable: Streams can be resumed with the header X-Resume-Offset.
-        rate_limit: Requests a second from all callers, a decimal number that
+        default_tokens: Length of an answer if the request sets none.
+        report_lag_s: Age of the load report.
+        stall_after_tokens: Token at which streams stall; 0 is never.
+        cut_after_tokens: Token at which connections are closed; 0 is never.
+        crash_marker: A body that contains it ends the process; empty is none.
+        cut_at_start: Whether connections are closed before the first token.
+        short_answer: Whether a JSON answer ends before its stated length.
+        fail_status: Status of the answer to every completion; 0 is none.
+        fail_plain_status: Status of the answers to plain calls; 0 is none.
+        leaving: Whether the load report says that the engine leaves.
+        resumable: Whether the header X-Resume-Offset resumes streams.
+        rate_limit: Requests per second from all callers, a decimal number that
             every answer states; empty states none.
     """
 
@@ -75,13 +75,13 @@
     rate_limit: str = ""
 
 
-def _leave_if(gone: Gone) -> None:
-    if gone():
+def _raise_if_cancelled(is_cancelled: IsCancelled) -> None:
+    if is_cancelled():
         raise ConnectionAbortedError("cancelled")
 
 
 class _Batch:
-    """Slots of the batch; those who wait get in by priority, then age."""
+    """Slots of the batch; waiting requests enter by priority, then age."""
 
     def __init__(self, behaviour: Behaviour):
         self._behaviour = behaviour
@@ -92,17 +92,17 @@
 
     @property
     def waiting(self) -> int:
-        """Requests outside the batch."""
+        """Number of requests that wait for a slot."""
         return len(self._waiting)
 
     def enter(self, rank: int) -> None:
-        """Waits for a place in the batch."""
+        """Waits for a slot."""
         with self._lock:
-            place = (rank, next(self._order))
-            heapq.heappush(self._waiting, place)
+            entry = (rank, next(self._order))
+            heapq.heappush(self._waiting, entry)
             self._lock.wait_for(
                 lambda: (
-                    self._waiting[0] == place
+                    self._waiting[0] == entry
                     and self.running < self._behaviour.slots
                 )
             )
@@ -111,14 +111,14 @@
             self._lock.notify_all()
 
     def leave(self) -> None:
-        """Gives the place back."""
+        """Frees the slot."""
         with self._lock:
             self.running -= 1
             self._lock.notify_all()
 
 
 class Engine:
-    """State of one stand-in."""
+    """State of one stand-in engine."""
 
     def __init__(self, behaviour: Behaviour):
         self.behaviour = behaviour
@@ -139,8 +139,8 @@
 
     def report(self) -> str:
         """Returns the load as it was `report_lag_s` ago."""
-        seen_s = time.monotonic() - self.behaviour.report_lag_s
-        old = [item for item in self._reports if item[0] <= seen_s]
+        visible_s = time.monotonic() - self.behaviour.report_lag_s
+        old = [item for item in self._reports if item[0] <= visible_s]
         _, running, waiting = (old or [(0.0, 0, 0)])[-1]
         return (
             f"engine:num_requests_running {running}\n"
@@ -154,7 +154,7 @@
         request_id: str,
         rank: int,
         body: bytes,
-        gone: Gone,
+        is_cancelled: IsCancelled,
         first: int = 0,
     ) -> typing.Iterator[str]:
         """Yields the tokens of one answer."""
@@ -178,13 +178,13 @@
         self.batch.enter(rank)
         try:
             if self.behaviour.cut_at_start:
-                raise ConnectionAbortedError("told to cut")
-            self._prefill(len(body) / 4, gone)
+                raise ConnectionAbortedError("injected cut")
+            self._prefill(len(body) / 4, is_cancelled)
             for number in range(first, count):
                 time.sleep(self.behaviour.token_s)
-                self._misbehave(number, gone)
+                self._inject_faults(number, is_cancelled)
                 if (number, first) == (CUT_AT_TOKEN, 0) and CUT_MARKER in body:
-                    raise ConnectionAbortedError("told to cut")
+                    raise ConnectionAbortedError("injected cut")
                 record["tokens"] = number + 1
                 self.tokens += 1
                 yield f"{record['body_sha256'][:8]}-{number} "
@@ -194,21 +194,21 @@
                 record["outcome"] = "cancelled"
             self.batch.leave()
 
-    def _prefill(self, tokens: float, gone: Gone) -> None:
+    def _prefill(self, tokens: float, is_cancelled: IsCancelled) -> None:
         end_s = time.monotonic() + self.behaviour.prefill_s_per_token * tokens
         while (left_s := end_s - time.monotonic()) > 0:
-            _leave_if(gone)
-            time.sleep(min(left_s, CANCEL_LOOK_S))
+            _raise_if_cancelled(is_cancelled)
+            time.sleep(min(left_s, CANCEL_POLL_S))
 
-    def _misbehave(self, number: int, gone: Gone) -> None:
+    def _inject_faults(self, number: int, is_cancelled: IsCancelled) -> None:
         behaviour = self.behaviour
         while behaviour.stall_after_tokens and (
             number >= behaviour.stall_after_tokens
         ):
-            _leave_if(gone)
-            time.sleep(CANCEL_LOOK_S)
+            _raise_if_cancelled(is_cancelled)
+            time.sleep(CANCEL_POLL_S)
         if behaviour.cut_after_tokens and number >= behaviour.cut_after_tokens:
-            raise ConnectionAbortedError("told to cut")
+            raise ConnectionAbortedError("injected cut")
 
 
 class _Handler(server.BaseHTTPRequestHandler):
@@ -222,66 +222,70 @@
         """Writes nothing."""
 
     def do_GET(self) -> None:
-        """Serves reports and records, or a plain service's read."""
+        """Serves load reports and records, or calls the plain service."""
         if self.path == "/metrics":
-            self._answer(200, self.engine.report().encode(), "text/plain")
+            self._send_answer(200, self.engine.report().encode(), "text/plain")
         elif self.path == "/standin/runs":
-            self._answer(200, json.dumps(self.engine.runs).encode())
+            self._send_answer(200, json.dumps(self.engine.runs).encode())
         elif self.path == "/v1/models":
-            self._answer(200, json.dumps(self.engine.shelf.models()).encode())
+            self._send_answer(
+                200, json.dumps(self.engine.shelf.models()).encode()
+            )
         elif self.path == "/standin/orders":
-            self._answer(200, json.dumps(self.engine.shelf.orders).encode())
+            self._send_answer(
+                200, json.dumps(self.engine.shelf.orders).encode()
+            )
         else:
-            self._plain(b"")
+            self._call_plain(b"")
 
     def do_POST(self) -> None:
-        """Serves completions, or a plain service's write."""
+        """Serves completions and orders, or calls the plain service."""
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         if self.path == "/standin/behaviour":
             for name, value in json.loads(body).items():
                 setattr(self.engine.behaviour, name, value)
-            self._answer(200, b"{}")
+            self._send_answer(200, b"{}")
         elif self.path == "/v1/orders":
-            taken = self.engine.shelf.order(json.loads(body))
-            self._answer(202 if taken else 409, b"{}")
+            is_accepted = self.engine.shelf.order(json.loads(body))
+            self._send_answer(202 if is_accepted else 409, b"{}")
         elif self.path.startswith("/v1/"):
             self._completion(body)
         else:
-            self._plain(body)
+            self._call_plain(body)
 
-    def _gone(self) -> bool:
+    def _is_cancelled(self) -> bool:
         poll = select.poll()
         poll.register(self.connection, select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def _completion(self, body: bytes) -> None:
         if self.engine.behaviour.fail_status:
-            self._answer(self.engine.behaviour.fail_status, b"{}")
+            self._send_answer(self.engine.behaviour.fail_status, b"{}")
             return
         tokens = self.engine.run(
             self.headers.get("X-Request-Id", ""),
             int(self.headers.get("X-Priority", "0")),
             body,
-            self._gone,
+            self._is_cancelled,
             int(self.headers.get("X-Resume-Offset", "0")),
         )
         try:
             if json.loads(body).get("stream"):
                 self._stream(tokens)
             else:
-                self._whole(tokens)
+                self._send_complete(tokens)
         except OSError:
             self.close_connection = True
         finally:
             tokens.close()
 
-    def _begin(self, status: int) -> None:
+    def _start_answer(self, status: int) -> None:
         self.send_response(status)
         if self.engine.behaviour.rate_limit:
             self.send_header("X-Rate-Limit", self.engine.behaviour.rate_limit)
 
     def _stream(self, tokens: typing.Iterator[str]) -> None:
-        self._begin(200)
+        self._start_answer(200)
         self.send_header("Content-Type", "text/event-stream")
         if self.engine.behaviour.resumable:
             self.send_header("X-Resumable", "yes")
@@ -298,7 +302,7 @@
         self.wfile.write(b"%x\r\n%s\r\n" % (len(data), data))
         self.wfile.flush()
 
-    def _whole(self, tokens: typing.Iterator[str]) -> None:
+    def _send_complete(self, tokens: typing.Iterator[str]) -> None:
         parts = list(tokens)
         content = {
             "choices": [
@@ -312,15 +316,15 @@
         }
         body = json.dumps(content).encode()
         if self.engine.behaviour.short_answer:
-            self._begin(200)
+            self._start_answer(200)
             self.send_header("Content-Length", str(len(body)))
             self.end_headers()
             self.wfile.write(body[:-10])
             self.close_connection = True
             return
-        self._answer(200, body)
+        self._send_answer(200, body)
 
-    def _plain(self, body: bytes) -> None:
+    def _call_plain(self, body: bytes) -> None:
         record = {
             "request_id": self.headers.get("X-Request-Id", ""),
             "method": self.command,
@@ -335,14 +339,14 @@
             record["outcome"] = "done"
             answer = json.dumps({"ran": record["path"], "body": record["body"]})
             status = self.engine.behaviour.fail_plain_status or 200
-            self._answer(status, answer.encode())
+            self._send_answer(status, answer.encode())
         finally:
             self.engine.batch.leave()
 
-    def _answer(
+    def _send_answer(
         self, status: int, body: bytes, kind: str = "application/json"
     ) -> None:
-        self._begin(status)
+        self._start_answer(status)
         self.send_header("Content-Type", kind)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
--- a/tools/standin/platform_list.py
+++ b/tools/standin/platform_list.py
@@ -1,9 +1,9 @@
-"""A stand-in of the platform's lagging list of instances and endpoints.
+"""A stand-in for the platform's lagging list of instances and endpoints.
 
 ``POST /standin/state`` with ``{"address": ..., "state": "live"|"leaving"}``
-changes the truth; ``GET /v1/listing`` shows it as it was some time ago.
-``POST /v1/usage`` and ``/v1/endpoints`` take the calls of one holder, refuse
-old fencing tokens, and are shown by ``GET /standin/calls``.
+sets a state; ``GET /v1/listing`` returns the states with a lag.
+``POST /v1/usage`` and ``/v1/endpoints`` accept the calls of the duty holder and
+refuse old fencing tokens; ``GET /standin/calls`` returns the accepted calls.
 """
 
 import argparse
@@ -16,44 +16,46 @@
 
 
 class PlatformList:
-    """The truth and its lagging picture."""
+    """States of endpoints, which are listed with a lag."""
 
     def __init__(self, lag_s: float):
         self._lag_s = lag_s
         self._lock = threading.Lock()
         self._changes: list[tuple[float, str, str]] = []
 
-    def change(self, address: str, state: str) -> None:
-        """Records a change of the truth."""
+    def set_state(self, address: str, state: str) -> None:
+        """Sets the state of an endpoint."""
         with self._lock:
             self._changes.append((time.monotonic(), address, state))
 
-    def shown(self) -> dict[str, str]:
-        """Returns the states as they were `lag_s` ago."""
-        seen_s = time.monotonic() - self._lag_s
+    def listed_states(self) -> dict[str, str]:
+        """Returns the states of `lag_s` ago by address."""
+        visible_s = time.monotonic() - self._lag_s
         with self._lock:
             return {
                 address: state
                 for at_s, address, state in self._changes
-                if at_s <= seen_s
+                if at_s <= visible_s
             }
 
 
 class Duties:
-    """The calls of one holder, checked as a platform would."""
+    """Accepted calls of the duty holder."""
 
     def __init__(self):
         self._lock = threading.Lock()
-        self._newest: dict[str, int] = {}
+        self._highest_tokens: dict[str, int] = {}
         self.calls: list[dict[str, object]] = []
 
-    def take(self, path: str, token: int, holder: str, body: dict) -> int:
-        """Takes a call; returns the HTTP status."""
+    def handle_call(
+        self, path: str, token: int, holder: str, body: dict
+    ) -> int:
+        """Accepts or refuses a call; returns the HTTP status."""
         subject = f"{path} {body.get('service')} {body.get('domain')}"
         with self._lock:
-            if token < self._newest.get(subject, 0):
+            if token < self._highest_tokens.get(subject, 0):
                 return 409
-            self._newest[subject] = token
+            self._highest_tokens[subject] = token
             self.calls.append(
                 {"path": path, "token": token, "holder": holder, **body}
             )
@@ -68,30 +70,30 @@
         """Writes nothing."""
 
     def do_GET(self) -> None:
-        """Shows the list, or the calls that were taken."""
+        """Serves the list or the accepted calls."""
         if self.path == "/standin/calls":
             self._answer(self.duties.calls)
             return
         endpoints = [
             {"address": address, "state": state}
-            for address, state in self.listing.shown().items()
+            for address, state in self.listing.listed_states().items()
         ]
         self._answer({"endpoints": endpoints})
 
     def do_POST(self) -> None:
-        """Changes the truth, or takes a call of a holder."""
+        """Sets a state, or handles a call of the duty holder."""
         size = int(self.headers.get("Content-Length", 0))
-        change = json.loads(self.rfile.read(size))
+        content = json.loads(self.rfile.read(size))
         if self.path.startswith("/v1/"):
-            status = self.duties.take(
+            status = self.duties.handle_call(
                 self.path,
                 int(self.headers["X-Fencing-Token"]),
                 self.headers["X-Holder"],
-                change,
+                content,
             )
             self._answer({}, status)
             return
-        self.listing.change(change["address"], change["state"])
+        self.listing.set_state(content["address"], content["state"])
         self._answer({})
 
     def _answer(self, content: object, status: int = 200) -> None:
--- a/tools/standin/shelf.py
+++ b/tools/standin/shelf.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine holds, and the orders it was given."""
+"""Models of a stand-in engine, and the orders it received."""
 
 import dataclasses
 import threading
@@ -13,9 +13,11 @@
     """Models of one stand-in engine.
 
     Attributes:
-        load_s: Time to load one.
-        checks_token: Whether an old fencing token is refused.
-        orders: Every order given, with whether it was taken.
+        load_s: Time to load one model.
+        checks_token: Whether orders with an old fencing token are refused.
+        highest: Highest fencing token of the accepted orders.
+        ready_at_s: When each model is loaded, by name.
+        orders: All orders received, and whether each was accepted.
     """
 
     load_s: float = 0.5
@@ -28,7 +30,7 @@
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
 
     def models(self) -> dict[str, typing.Any]:
-        """Returns the list that ``GET /v1/models`` shows."""
+        """Returns the answer to ``GET /v1/models``."""
         now_s = time.monotonic()
         with self.lock:
             return {
@@ -42,18 +44,18 @@
                 ],
             }
 
-    def order(self, order: dict[str, typing.Any]) -> bool:
-        """Takes an order, or refuses one with an old token."""
+    def order(self, content: dict[str, typing.Any]) -> bool:
+        """Executes an order; returns False if its token is old."""
         with self.lock:
-            old = order["fencing"] < self.highest
-            taken = not (self.checks_token and old)
-            self.orders.append({**order, "taken": taken})
-            if not taken:
+            is_old = content["fencing"] < self.highest
+            is_accepted = not (self.checks_token and is_old)
+            self.orders.append({**content, "taken": is_accepted})
+            if not is_accepted:
                 return False
-            self.highest = max(self.highest, order["fencing"])
-            if order["kind"] == "load":
+            self.highest = max(self.highest, content["fencing"])
+            if content["kind"] == "load":
                 ready_at_s = time.monotonic() + self.load_s
-                self.ready_at_s.setdefault(order["artifact"], ready_at_s)
+                self.ready_at_s.setdefault(content["artifact"], ready_at_s)
             else:
-                self.ready_at_s.pop(order["artifact"], None)
+                self.ready_at_s.pop(content["artifact"], None)
             return True
--- a/tools/tests/test_proxy.py
+++ b/tools/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The fault-injecting proxy does to connections what tests rely on."""
+"""Tests of the fault-injecting proxy."""
 
 import contextlib
 import socket
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def echo():
-    """Address of a server that sends back what it gets."""
+    """Address of an echo server."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve(connection):
@@ -51,7 +51,7 @@
     return connection.recv(1) == b"x"
 
 
-def test_bytes_pass_late_by_the_delay(link):
+def test_delay_applies_in_both_directions(link):
     link.delay_s = 0.1
     with _connect(link) as connection:
         start_s = time.monotonic()
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("new_too", [False, True])
-def test_silence_swallows_without_an_end(link, new_too):
+def test_silent_connections_drop_data_and_stay_open(link, new_too):
     with _connect(link) as old:
         assert _echoes(old)
         link.silence(new_too=new_too)
--- a/tools/tests/test_write_reference.py
+++ b/tools/tests/test_write_reference.py
@@ -1,4 +1,4 @@
-"""The reference pages say what the code does."""
+"""Checks the reference pages against the code."""
 
 import pathlib
 
@@ -11,6 +11,6 @@
 
 @pytest.mark.parametrize("name", write_reference.pages())
 def test_page_is_up_to_date(name):
-    # A key is added and the page forgotten: an operator would look for it in
-    # vain. `python -m tools.write_reference` mends it.
+    # A key could be added without its documentation. Run `python -m
+    # tools.write_reference` to update the pages.
     assert (_FOLDER / name).read_text() == write_reference.pages()[name]
--- a/tools/write_reference.py
+++ b/tools/write_reference.py
@@ -1,4 +1,4 @@
-"""Writes the reference pages that follow from the code.
+"""Generates the reference pages from the code.
 
 ``docs/reference/settings.md`` comes from the settings dataclasses,
 ``docs/reference/document.md`` from the schema, ``docs/reference/errors.md``
@@ -38,7 +38,7 @@
     "limits": schema.CallerLimits,
 }
 _NOT_KEYS = {(schema.Workspace, "rank"), (schema.Service, "scaling")}
-"""Fields that documents of sections do not have."""
+"""Fields that are not keys of a document."""
 
 _ATTRIBUTE = re.compile(r"^    (\w+): (.*(?:\n {8}\S.*)*)", re.M)
 
@@ -121,8 +121,8 @@
     yield f"{_NOTE} An error answer is JSON: `error.code`, `error.message`,"
     yield "`error.not_run`, `error.retryable`, `error.retry_after_s`,"
     yield "`error.request_id`. `not_run` is true only where the request"
-    yield "certainly did not run; a place that knows better than the table may"
-    yield "say true."
+    yield "certainly did not run; an instance may set it to true where the"
+    yield "table says false."
     yield ""
     yield "| code | HTTP status | not_run | retryable |"
     yield "| --- | --- | --- | --- |"
