--- a/cardamombarrow/peers/tests/test_load_publisher.py
+++ b/cardamombarrow/peers/tests/test_load_publisher.py
@@ -144,7 +144,7 @@
         _wait_until(lambda: _SENDER in placer.loads)
         link.silence(new_too=True)
         _wait_until(lambda: _SENDER not in placer.loads)
-        link.mend()
+        link.restore()
         _wait_until(lambda: _SENDER in placer.loads)
 
 
--- a/cardamombarrow/tests/test_callers.py
+++ b/cardamombarrow/tests/test_callers.py
@@ -122,7 +122,7 @@
 def _check_quick_is_served(running) -> None:
     answer = caller.complete(running.entries["entry-1"], "desk", model="quick")
     assert answer.status == 200
-    assert caller.content_of(answer) == caller.whole_content(answer, 5)
+    assert caller.answer_content(answer) == caller.expected_content(answer, 5)
 
 
 _VALID_BODY = caller.completion_body("quick", "x", True, 5)
@@ -273,7 +273,9 @@
             stream=stream,
             tokens=12,
         )
-        return caller.content_of(answer) == caller.whole_content(answer, 12)
+        return caller.answer_content(answer) == caller.expected_content(
+            answer, 12
+        )
 
     with futures.ThreadPoolExecutor(200) as executor:
         assert all(executor.map(is_complete, range(200)))
--- a/cardamombarrow/tests/test_control_failures.py
+++ b/cardamombarrow/tests/test_control_failures.py
@@ -42,7 +42,7 @@
 def running(group):
     """The same deployment, with all processes running and all links up."""
     for link in group.proxy.links.values():
-        link.mend()
+        link.restore()
     for name in NAMES:
         if group.processes[name].poll() is not None:
             group.start_instance(name)
@@ -184,7 +184,7 @@
     assert before < revision
     term = _log_of(running, _leader(running, others))["term"]
     for link in links:
-        link.mend()
+        link.restore()
     assert deployment.wait_until(lambda: _redundant(running))
     document = isolated.admin.get("/v1/document", fresh="yes")
     assert document["revision"] == revision
--- a/cardamombarrow/tests/test_cut_off.py
+++ b/cardamombarrow/tests/test_cut_off.py
@@ -82,7 +82,7 @@
         assert _complete(running, entry) == 200
     assert control.runs(running.engines["trail-desk"], "cut-off") == []
     for link in links:
-        link.mend()
+        link.restore()
     for entry in sorted(_CUT_OFF):
         assert _wait_for(running, entry, second)
     assert deployment.wait_until(
@@ -102,4 +102,4 @@
     assert _wait_for(running, "entry-2", revision)
     assert _wait_for(running, "entry-1", revision)
     for link in links:
-        link.mend()
+        link.restore()
--- a/cardamombarrow/tests/test_drain.py
+++ b/cardamombarrow/tests/test_drain.py
@@ -95,7 +95,7 @@
         assert len(_runs(leaving)) == before
         for future in streams:
             answer = future.result()
-            assert caller.content_of(answer) == caller.whole_content(
+            assert caller.answer_content(answer) == caller.expected_content(
                 answer, _STREAM_TOKENS
             )
 
@@ -127,7 +127,7 @@
         running.signal("entry-1", signal.SIGINT)
         for future in streams:
             answer = future.result()
-            assert caller.content_of(answer) == caller.whole_content(
+            assert caller.answer_content(answer) == caller.expected_content(
                 answer, _STREAM_TOKENS
             )
     assert running.processes["entry-1"].wait(timeout=30) == 0
@@ -182,6 +182,6 @@
         error = json.loads(refused.body)["error"]
         assert (error["code"], error["not_run"]) == ("draining", True)
         answer = stream.result()
-    assert caller.content_of(answer) == caller.whole_content(
+    assert caller.answer_content(answer) == caller.expected_content(
         answer, _STREAM_TOKENS
     )
--- a/cardamombarrow/tests/test_endpoint_failures.py
+++ b/cardamombarrow/tests/test_endpoint_failures.py
@@ -154,7 +154,7 @@
         cut = _complete(running, "lone", prompt="standin-cut", tokens=9)
         _assert_incomplete(cut, "answer_cut")
         whole = other.result()
-    assert caller.content_of(whole) == caller.whole_content(whole, 30)
+    assert caller.answer_content(whole) == caller.expected_content(whole, 30)
     assert _wasted_tokens(running) >= 3
     assert [
         line["crashed"] for line in _broken_connections(running)[before:]
@@ -224,7 +224,9 @@
     with faults[failure] if failure in faults else _killed(running, address):
         for number in range(6):
             answer = _complete(running, "pair", prompt=f"{failure} {number}")
-            assert caller.content_of(answer) == caller.whole_content(answer, 5)
+            assert caller.answer_content(answer) == caller.expected_content(
+                answer, 5
+            )
 
 
 def test_not_run_matches_the_record_of_the_engine(running):
@@ -313,7 +315,7 @@
     _assert_incomplete(answer, "deadline")
     for number in range(3):
         after = _complete(running, "lone", prompt=f"after {number}")
-        assert caller.content_of(after) == caller.whole_content(after, 5)
+        assert caller.answer_content(after) == caller.expected_content(after, 5)
     assert deployment.wait_until(
         lambda: "running" not in [r["outcome"] for r in _runs(running, "lone")]
     )
@@ -349,7 +351,7 @@
                 answer = pending.result()
         else:
             answer = pending.result()
-    assert caller.content_of(answer) == caller.whole_content(answer, 60)
+    assert caller.answer_content(answer) == caller.expected_content(answer, 60)
     assert answer.body.endswith(b"data: [DONE]\n\n")
     assert _wasted_tokens(running) == wasted_tokens
 
--- a/cardamombarrow/tests/test_in_force.py
+++ b/cardamombarrow/tests/test_in_force.py
@@ -38,7 +38,7 @@
 
 
 def _lagging(running, revision):
-    return _operator(running).late(revision)
+    return _operator(running).lagging_instances(revision)
 
 
 def test_silent_connection_is_detected_and_replaced(running):
@@ -65,7 +65,7 @@
         lambda: _lagging(running, revision) == {"entry-3"}, 20
     )
     for link in links:
-        link.mend()
+        link.restore()
     assert deployment.wait_until(lambda: not _lagging(running, revision), 20)
 
 
@@ -93,7 +93,7 @@
         method="POST",
         body=f'{{"address": "{endpoint}", "state": "live"}}'.encode(),
     )
-    control.behave(endpoint, leaving=True)
+    control.set_behaviour(endpoint, leaving=True)
 
     def has_logged_leaving(entry):
         lines = running.log(entry).splitlines()
@@ -104,7 +104,7 @@
 
     for entry in _DOMAIN:
         assert deployment.wait_until(lambda e=entry: has_logged_leaving(e), 20)
-    control.behave(endpoint, leaving=False)
+    control.set_behaviour(endpoint, leaving=False)
 
 
 @pytest.fixture(scope="module")
@@ -158,7 +158,7 @@
     running.wait_ready("entry-1")
     assert running.revision("entry-1") >= revision
     for link in proxy.links.values():
-        link.mend()
+        link.restore()
     assert deployment.wait_until(
-        lambda: not editor.Editor(urls).late(revision), 20
+        lambda: not editor.Editor(urls).lagging_instances(revision), 20
     )
--- a/cardamombarrow/tests/test_once.py
+++ b/cardamombarrow/tests/test_once.py
@@ -56,7 +56,7 @@
     # outcome is unknown. A resend through another entry must not run it a
     # second time, and must not be answered as in flight forever.
     for address in running.engines["trail-desk"]:
-        control.behave(address, token_s=1.0)
+        control.set_behaviour(address, token_s=1.0)
     with futures.ThreadPoolExecutor() as pool:
         first = pool.submit(_sign_off, running, "entry-1", "during")
         assert deployment.wait_until(lambda: _runs(running, "during"))
@@ -64,7 +64,7 @@
         with pytest.raises(errors.EndpointError):
             first.result()
     for address in running.engines["trail-desk"]:
-        control.behave(address, token_s=0.01)
+        control.set_behaviour(address, token_s=0.01)
     codes = []
 
     def unknown():
@@ -114,7 +114,7 @@
     assert answer.error["not_run"] is True
     assert _runs(running, fault) == []
     for link in links:
-        link.mend()
+        link.restore()
     assert deployment.wait_until(
         lambda: _sign_off(running, "entry-1", fault).status == 200
     )
--- a/cardamombarrow/tests/test_path.py
+++ b/cardamombarrow/tests/test_path.py
@@ -20,7 +20,7 @@
         tokens=7,
     )
     assert answer.status == 200
-    words = caller.content_of(answer).split()
+    words = caller.answer_content(answer).split()
     assert [word.split("-")[1] for word in words] == list("0123456")
     if stream:
         assert answer.body.endswith(b"data: [DONE]\n\n")
--- a/tools/caller.py
+++ b/tools/caller.py
@@ -9,11 +9,11 @@
 
 __all__ = [
     "CallerAnswer",
+    "answer_content",
     "complete",
     "completion_body",
-    "content_of",
+    "expected_content",
     "service",
-    "whole_content",
 ]
 
 
@@ -107,13 +107,13 @@
     return CallerAnswer(reply.status, reply.body)
 
 
-def whole_content(answer: CallerAnswer, tokens: int) -> str:
+def expected_content(answer: CallerAnswer, tokens: int) -> str:
     """Returns the text that a stand-in generates for the request."""
     digest = hashlib.sha256(answer.sent).hexdigest()[:8]
     return "".join(f"{digest}-{number} " for number in range(tokens))
 
 
-def content_of(answer: CallerAnswer) -> str:
+def answer_content(answer: CallerAnswer) -> str:
     """Returns the text of a completion, streamed or not."""
     if not answer.body.startswith(b"data: "):
         return json.loads(answer.body)["choices"][0]["message"]["content"]
--- a/tools/editor.py
+++ b/tools/editor.py
@@ -31,7 +31,7 @@
             raise RuntimeError(f"not accepted: {answer}")
         return answer["revision"]
 
-    def late(self, revision: int) -> set[str]:
+    def lagging_instances(self, revision: int) -> set[str]:
         """Returns the instances that have not applied a revision."""
         instances = self._admin.get("/v1/in-force")["instances"]
         return {
--- a/tools/load.py
+++ b/tools/load.py
@@ -23,10 +23,10 @@
 import pycurl
 
 __all__ = [
+    "CallOutcome",
     "ClassLoad",
     "ClassResult",
     "Load",
-    "Received",
     "Result",
     "table",
 ]
@@ -60,7 +60,7 @@
     to_s: float = math.inf
 
 
-class Received(enum.Enum):
+class CallOutcome(enum.Enum):
     """How a request ended for its caller."""
 
     WHOLE = "whole"
@@ -78,7 +78,7 @@
     """
 
     offered: int = 0
-    ended: collections.Counter[Received] = dataclasses.field(
+    ended: collections.Counter[CallOutcome] = dataclasses.field(
         default_factory=collections.Counter
     )
     in_target: int = 0
@@ -202,9 +202,9 @@
     answer: "_Attempt",
     arrival_s: float,
 ) -> None:
-    received = answer.received()
-    result.ended[received] += 1
-    if received is not Received.WHOLE:
+    outcome = answer.outcome()
+    result.ended[outcome] += 1
+    if outcome is not CallOutcome.WHOLE:
         return
     first_s = answer.first_byte_s - arrival_s
     result.tokens += request.tokens
@@ -274,13 +274,13 @@
         except (ValueError, KeyError, TypeError):
             return 1.0
 
-    def received(self) -> Received:
+    def outcome(self) -> CallOutcome:
         """Returns how the request ended."""
         if self.status == 200 and self._body.endswith(b"data: [DONE]\n\n"):
-            return Received.WHOLE
+            return CallOutcome.WHOLE
         if self.status >= 400:
-            return Received.REFUSED
-        return Received.BROKEN
+            return CallOutcome.REFUSED
+        return CallOutcome.BROKEN
 
 
 def table(result: Result) -> abc.Iterator[str]:
@@ -293,9 +293,9 @@
         first = item.first_token_ms
         yield (
             f"{name:<18}{item.offered:>8}"
-            f"{item.ended[Received.WHOLE]:>7}"
-            f"{item.ended[Received.REFUSED]:>8}"
-            f"{item.ended[Received.BROKEN]:>7}"
+            f"{item.ended[CallOutcome.WHOLE]:>7}"
+            f"{item.ended[CallOutcome.REFUSED]:>8}"
+            f"{item.ended[CallOutcome.BROKEN]:>7}"
             f"{item.attainment_share:>10.1%}"
             f"{first.get_value_at_percentile(50):>8}"
             f"{first.get_value_at_percentile(95):>8}"
--- a/tools/proxy.py
+++ b/tools/proxy.py
@@ -9,7 +9,7 @@
     ...     link = proxy.link("entry-1", "control-1", "127.0.0.1:7001")
     ...     link.delay_s = 0.03
     ...     link.silence(new_too=False)
-    ...     link.mend()
+    ...     link.restore()
 
 Notes:
     The delay applies to bytes, not to the handshake of a connection. A cut link
@@ -209,7 +209,7 @@
         for connection in self._connections:
             connection.is_silent = True
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Relays new connections; silent ones stay silent."""
         self.state = LinkState.OPEN
 
--- a/tools/standin/control.py
+++ b/tools/standin/control.py
@@ -5,12 +5,12 @@
 
 from cardamombarrow.endpoints import http_get
 
-__all__ = ["behave", "runs"]
+__all__ = ["runs", "set_behaviour"]
 
 TIMEOUT_S = 5.0
 
 
-def behave(address: str, **behaviour: typing.Any) -> None:
+def set_behaviour(address: str, **behaviour: typing.Any) -> None:
     """Changes fields of an engine's `engine.Behaviour`."""
     http_get.fetch(
         f"http://{address}/standin/behaviour",
--- a/tools/standin/engine.py
+++ b/tools/standin/engine.py
@@ -19,7 +19,7 @@
 import time
 import typing
 
-from tools.standin import shelf
+from tools.standin import engine_models
 
 __all__ = ["Behaviour", "Engine", "main"]
 
@@ -123,7 +123,7 @@
     def __init__(self, behaviour: Behaviour):
         self.behaviour = behaviour
         self.batch = _Batch(behaviour)
-        self.shelf = shelf.Shelf()
+        self.loaded_models = engine_models.EngineModels()
         self.runs: list[dict[str, typing.Any]] = []
         self.tokens = 0
         self._reports: list[tuple[float, int, int]] = []
@@ -229,11 +229,11 @@
             self._send_answer(200, json.dumps(self.engine.runs).encode())
         elif self.path == "/v1/models":
             self._send_answer(
-                200, json.dumps(self.engine.shelf.models()).encode()
+                200, json.dumps(self.engine.loaded_models.models()).encode()
             )
         elif self.path == "/standin/orders":
             self._send_answer(
-                200, json.dumps(self.engine.shelf.orders).encode()
+                200, json.dumps(self.engine.loaded_models.orders).encode()
             )
         else:
             self._call_plain(b"")
@@ -246,7 +246,7 @@
                 setattr(self.engine.behaviour, name, value)
             self._send_answer(200, b"{}")
         elif self.path == "/v1/orders":
-            is_accepted = self.engine.shelf.order(json.loads(body))
+            is_accepted = self.engine.loaded_models.order(json.loads(body))
             self._send_answer(202 if is_accepted else 409, b"{}")
         elif self.path.startswith("/v1/"):
             self._completion(body)
--- a/tools/standin/shelf.py
+++ b/tools/standin/engine_models.py
@@ -5,24 +5,24 @@
 import time
 import typing
 
-__all__ = ["Shelf"]
+__all__ = ["EngineModels"]
 
 
 @dataclasses.dataclass
-class Shelf:
+class EngineModels:
     """Models of one stand-in engine.
 
     Attributes:
         load_s: Time to load one model.
         checks_token: Whether orders with an old fencing token are refused.
-        highest: Highest fencing token of the accepted orders.
+        highest_token: Highest fencing token of the accepted orders.
         ready_at_s: When each model is loaded, by name.
         orders: All orders received, and whether each was accepted.
     """
 
     load_s: float = 0.5
     checks_token: bool = True
-    highest: int = 0
+    highest_token: int = 0
     ready_at_s: dict[str, float] = dataclasses.field(default_factory=dict)
     orders: list[dict[str, typing.Any]] = dataclasses.field(
         default_factory=list
@@ -47,12 +47,12 @@
     def order(self, content: dict[str, typing.Any]) -> bool:
         """Executes an order; returns False if its token is old."""
         with self.lock:
-            is_old = content["fencing"] < self.highest
+            is_old = content["fencing"] < self.highest_token
             is_accepted = not (self.checks_token and is_old)
             self.orders.append({**content, "taken": is_accepted})
             if not is_accepted:
                 return False
-            self.highest = max(self.highest, content["fencing"])
+            self.highest_token = max(self.highest_token, content["fencing"])
             if content["kind"] == "load":
                 ready_at_s = time.monotonic() + self.load_s
                 self.ready_at_s.setdefault(content["artifact"], ready_at_s)
--- a/tools/tests/test_proxy.py
+++ b/tools/tests/test_proxy.py
@@ -69,7 +69,7 @@
     with pytest.raises(OSError), _connect(link) as new:
         assert _echoes(new)
         raise AssertionError("a cut link answered")
-    link.mend()
+    link.restore()
     with _connect(link) as new:
         assert _echoes(new)
 
@@ -87,7 +87,7 @@
                     _echoes(new)
             else:
                 assert _echoes(new)
-        link.mend()
+        link.restore()
         with pytest.raises(TimeoutError):
             _echoes(old)
         with _connect(link) as new:
