--- a/cardamombarrow/tests/__init__.py
+++ b/cardamombarrow/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of whole processes, and of rules that hold across subpackages."""
+"""Tests with real processes, and of rules for all subpackages."""
--- a/cardamombarrow/tests/test_endpoint_failures.py
+++ b/cardamombarrow/tests/test_endpoint_failures.py
@@ -153,8 +153,10 @@
         other = executor.submit(_complete, running, "lone", tokens=30)
         cut = _complete(running, "lone", prompt="standin-cut", tokens=9)
         _assert_incomplete(cut, "answer_cut")
-        whole = other.result()
-    assert caller.answer_content(whole) == caller.expected_content(whole, 30)
+        complete = other.result()
+    assert caller.answer_content(complete) == caller.expected_content(
+        complete, 30
+    )
     assert _wasted_tokens(running) >= 3
     assert [
         line["crashed"] for line in _broken_connections(running)[before:]
