--- a/tools/caller.py
+++ b/tools/caller.py
@@ -1,4 +1,4 @@
-"""A small caller of an entry, for tests, demo and benchmarks."""
+"""A small client of an entry, for tests, demo and benchmarks."""
 
 import dataclasses
 import hashlib
@@ -9,17 +9,17 @@
 
 __all__ = [
     "CallerAnswer",
+    "answer_content",
     "complete",
     "completion_body",
-    "content_of",
+    "expected_content",
     "service",
-    "whole_content",
 ]
 
 
 @dataclasses.dataclass(frozen=True)
 class CallerAnswer:
-    """What a caller received, whole.
+    """A complete answer.
 
     Attributes:
         sent: The body of the request.
@@ -32,7 +32,7 @@
 
     @property
     def error(self) -> dict[str, typing.Any] | None:
-        """The error that the answer carries."""
+        """The error object in the answer."""
         if b"event: error" in self.body:
             last = self.body.rpartition(b"data: ")[2]
             return json.loads(last)["error"]
@@ -65,7 +65,7 @@
     tokens: int = 5,
     timeout_s: float = 20.0,
 ) -> CallerAnswer:
-    """Asks for one completion and reads the whole answer."""
+    """Requests one completion and reads the complete answer."""
     headers = [
         f"Authorization: Bearer {workspace}-key",
         "Content-Type: application/json",
@@ -107,13 +107,13 @@
     return CallerAnswer(reply.status, reply.body)
 
 
-def whole_content(answer: CallerAnswer, tokens: int) -> str:
-    """Returns the text that a stand-in gives to what the caller sent."""
-    mark = hashlib.sha256(answer.sent).hexdigest()[:8]
-    return "".join(f"{mark}-{number} " for number in range(tokens))
+def expected_content(answer: CallerAnswer, tokens: int) -> str:
+    """Returns the text that a stand-in generates for the request."""
+    digest = hashlib.sha256(answer.sent).hexdigest()[:8]
+    return "".join(f"{digest}-{number} " for number in range(tokens))
 
 
-def content_of(answer: CallerAnswer) -> str:
+def answer_content(answer: CallerAnswer) -> str:
     """Returns the text of a completion, streamed or not."""
     if not answer.body.startswith(b"data: "):
         return json.loads(answer.body)["choices"][0]["message"]["content"]
--- a/tools/standin/control.py
+++ b/tools/standin/control.py
@@ -1,16 +1,16 @@
-"""Reads and changes stand-in engines from tests and benchmarks."""
+"""Controls stand-in engines from tests and benchmarks."""
 
 import json
 import typing
 
 from cardamombarrow.endpoints import http_get
 
-__all__ = ["behave", "runs"]
+__all__ = ["runs", "set_behaviour"]
 
 TIMEOUT_S = 5.0
 
 
-def behave(address: str, **behaviour: typing.Any) -> None:
+def set_behaviour(address: str, **behaviour: typing.Any) -> None:
     """Changes fields of an engine's `engine.Behaviour`."""
     http_get.fetch(
         f"http://{address}/standin/behaviour",
@@ -21,7 +21,7 @@
 
 
 def runs(addresses: list[str], body: str = "") -> list[dict]:
-    """Returns what plain services ran, of one body where it is given."""
+    """Returns the runs of plain services, only those of `body` if given."""
     found = []
     for address in addresses:
         reply = http_get.fetch(
